--- a/packages/gateway/src/calls/body_relay.ts
+++ b/packages/gateway/src/calls/body_relay.ts
@@ -1,4 +1,4 @@
-/** Passes a large answer on to the caller as it comes. */
+/** Streams a large answer from an upstream to the caller. */
 
 import type { Buffer } from "node:buffer";
 import type { AnswerHead } from "../dialect.ts";
@@ -8,7 +8,7 @@
 
 const DIGITS = /^\d+$/;
 
-/** Relays the body of one answer; what waits for the caller is bounded. */
+/** Relays the body of one answer with backpressure, so that little is buffered. */
 export class BodyRelay implements BodySink {
   readonly #call: OpenCall;
 
@@ -16,7 +16,7 @@
     this.#call = call;
   }
 
-  /** Starts the caller's answer, with its length if the upstream tells one. */
+  /** Starts the caller's answer, with its length if the upstream sent one. */
   start(head: AnswerHead): void {
     const length = findHeader(head.headers, "content-length") ?? "";
     const headers = dropHopHeaders(head.headers);
@@ -24,13 +24,13 @@
     this.#call.startAnswer(head.status, headers);
   }
 
-  /** Passes bytes on; false if the caller is slower. */
+  /** Sends bytes to the caller; false if the caller reads more slowly. */
   push(bytes: Buffer): boolean {
     return this.#call.sendPart(bytes);
   }
 
-  /** Calls back once the caller has read. */
-  onReady(callback: () => void): void {
-    this.#call.onRead(callback);
+  /** Calls back once the caller has read what was sent. */
+  onDrain(callback: () => void): void {
+    this.#call.onDrain(callback);
   }
 }
--- a/packages/gateway/src/calls/call_parts.ts
+++ b/packages/gateway/src/calls/call_parts.ts
@@ -1,4 +1,4 @@
-/** What running a call needs of its surroundings. */
+/** The dependencies that calls share, and the failure of a call. */
 
 import type { CodedError, Logger, Metrics, Settings } from "@mallowlift/core";
 import type { CallerDialect } from "../dialect.ts";
@@ -7,28 +7,28 @@
 import type { ProgramUrgency } from "./program_urgency.ts";
 import type { SendGate } from "./send_gate.ts";
 
-/** Shared by all calls of a gateway. */
-export interface CallParts {
+/** Dependencies shared by all calls of a gateway. */
+export interface CallDependencies {
   readonly settings: Settings["gateway"];
   readonly dialect: CallerDialect;
   readonly upstreams: UpstreamTable;
-  /** Which upstream has read which prompt. */
+  /** Records which upstream has processed which prompt parts. */
   readonly prompts: PromptMemory;
   readonly urgency: ProgramUrgency;
-  /** Keys and quotas of workspaces. */
+  /** Checks the keys and quotas of workspaces before each send. */
   readonly gate: SendGate;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Gateways that share the upstreams now. */
+  /** Number of gateways that currently share the upstreams. */
   readonly countGateways: () => number;
   readonly random: () => number;
-  /** Time since the instance list was read, ms. */
+  /** Time since the instance list was last read, ms. */
   readonly findListAge: (now: number) => number;
 }
 
-/** How the search for an upstream ended, if not with an answer. */
+/** Why a call got no answer from an upstream. */
 export interface CallFailure {
   readonly error: CodedError;
-  /** True if no upstream can have run the call. */
+  /** True if it is certain that no upstream ran the call. */
   readonly notRun: boolean;
 }
--- a/packages/gateway/src/calls/event_relay.ts
+++ b/packages/gateway/src/calls/event_relay.ts
@@ -1,4 +1,4 @@
-/** Passes the events of a stream on to the caller, and keeps their data. */
+/** Relays the events of a stream to the caller and collects their data. */
 
 import { Buffer } from "node:buffer";
 import type { AnswerHead } from "../dialect.ts";
@@ -12,71 +12,71 @@
 import type { EventSink } from "./run_attempt.ts";
 
 /**
- * Relays whole events only, so that a cut one never reaches the caller. A
- * stream that goes on at another upstream keeps the head of the first one, and
- * no event is passed on twice.
+ * Relays only complete events, so that the caller never receives a truncated
+ * one. A stream that resumes at another upstream keeps the head of the first
+ * answer, and events that were already sent are skipped.
  */
 export class EventRelay implements EventSink {
   readonly #call: OpenCall;
   readonly #splitter = new EventSplitter();
   readonly #data: Buffer[] = [];
-  #count = 0;
+  #eventCount = 0;
   #lastId = "";
 
   constructor(call: OpenCall) {
     this.#call = call;
   }
 
-  /** Events that were passed on. */
+  /** Number of events with data that were sent to the caller. */
   get count(): number {
-    return this.#count;
+    return this.#eventCount;
   }
 
-  /** Id of the last event that was passed on; empty if there is none. */
+  /** Id of the last event that was sent to the caller; empty if there is none. */
   get lastId(): string {
     return this.#lastId;
   }
 
-  /** True if nothing was passed on, or the last event had an id. */
-  get canGoOn(): boolean {
-    return this.#count === 0 || this.#lastId !== "";
+  /** True if no event with data was sent yet, or an event with an id was. */
+  get canResume(): boolean {
+    return this.#eventCount === 0 || this.#lastId !== "";
   }
 
-  /** Data of all events, each followed by a line feed. */
+  /** The data of all events, each followed by a line feed. */
   joinData(): Buffer {
     return Buffer.concat(this.#data);
   }
 
-  /** Starts the caller's answer, unless an earlier upstream has started it. */
+  /** Starts the caller's answer, unless an earlier attempt has started it. */
   start(head: AnswerHead): void {
     this.#splitter.clear();
-    if (this.#call.hasAnswered) return;
+    if (this.#call.hasStartedAnswer) return;
     this.#call.startAnswer(head.status, dropHopHeaders(head.headers));
   }
 
-  /** Passes on the events that are whole. */
+  /** Sends all complete events; false if an event is too long. */
   push(bytes: Buffer): boolean {
     for (const event of this.#splitter.push(bytes)) {
       const id = readEventId(event);
       if (id !== undefined) {
-        if (this.#isPassedOn(id)) continue;
+        if (this.#isDuplicate(id)) continue;
         this.#lastId = id;
       }
       const data = readEventData(event);
       this.#data.push(Buffer.from(data));
-      if (data.length > 0) this.#count++;
+      if (data.length > 0) this.#eventCount++;
       this.#call.sendEvent(event);
     }
     return !this.#splitter.isTooLong;
   }
 
-  /** True if no event waits for its end. */
+  /** True if no event is incomplete. */
   isAtEventEnd(): boolean {
     return this.#splitter.isEmpty;
   }
 
-  /** Ids rise, so an event that is not newer than the last was passed on. */
-  #isPassedOn(id: string): boolean {
+  /** True if the event was already sent: event ids increase within a stream. */
+  #isDuplicate(id: string): boolean {
     return this.#lastId !== "" && Number(id) <= Number(this.#lastId);
   }
 }
--- a/packages/gateway/src/calls/judge_answer_test.ts
+++ b/packages/gateway/src/calls/judge_answer_test.ts
@@ -1,7 +1,7 @@
 import { RESULT_CODES } from "@mallowlift/core";
 import { test } from "tap";
 import type { AnswerFacts } from "../dialect.ts";
-import { judgeAnswer } from "./judge_answer.ts";
+import { classifyAnswer } from "./judge_answer.ts";
 
 function createFacts(more: Partial<AnswerFacts>): AnswerFacts {
   return {
@@ -13,30 +13,33 @@
   };
 }
 
-test("a late refusal of another request is no promise about this one", (t) => {
+test("a late refusal of another request does not apply to this one", (t) => {
   for (const more of [{ notRun: true }, { isOtherInstance: true }]) {
     const facts = createFacts({ ...more, callId: "earlier" });
-    t.same(judgeAnswer(facts, "own"), { belonging: "other" });
+    t.same(classifyAnswer(facts, "own"), { belonging: "other" });
   }
   t.end();
 });
 
-test("a refusal of the own request is a promise, also without an id", (t) => {
+test("a refusal of the same request is accepted with and without a call id", (t) => {
   for (const callId of ["own", undefined]) {
-    const full = judgeAnswer(createFacts({ callId, notRun: true }), "own");
+    const full = classifyAnswer(createFacts({ callId, notRun: true }), "own");
     t.equal(full.belonging, "own");
     t.equal(full.notRun?.code, RESULT_CODES.QUEUE_FULL);
     const other = createFacts({ callId, isOtherInstance: true });
-    t.equal(judgeAnswer(other, "own").notRun?.code, RESULT_CODES.NO_UPSTREAM);
+    t.equal(
+      classifyAnswer(other, "own").notRun?.code,
+      RESULT_CODES.NO_UPSTREAM,
+    );
   }
   t.end();
 });
 
-test("an answer that does not name its request, or is not genuine, is spoiled", (t) => {
-  t.equal(judgeAnswer(createFacts({}), "own").belonging, "own");
+test("an answer without a call id, or one that is not genuine, is rejected", (t) => {
+  t.equal(classifyAnswer(createFacts({}), "own").belonging, "own");
   const unnamed = createFacts({ callId: undefined });
-  t.equal(judgeAnswer(unnamed, "own").belonging, "spoiled");
-  const forged = createFacts({ isGenuine: false });
-  t.equal(judgeAnswer(forged, "own").belonging, "spoiled");
+  t.equal(classifyAnswer(unnamed, "own").belonging, "spoiled");
+  const notGenuine = createFacts({ isGenuine: false });
+  t.equal(classifyAnswer(notGenuine, "own").belonging, "spoiled");
   t.end();
 });
--- a/packages/gateway/src/calls/open_call.ts
+++ b/packages/gateway/src/calls/open_call.ts
@@ -1,4 +1,4 @@
-/** One request of a caller for as long as it is open. */
+/** A caller's open request: its deadline, its permit and the answer sent to it. */
 
 import { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
@@ -6,32 +6,32 @@
 import type { CallFacts, CallHead, OwnAnswer, RawHeaders } from "../dialect.ts";
 import type { Admission } from "../workspaces/key_admission.ts";
 
-/** Bytes that a caller may leave unread before its stream is broken off. */
+/** Unread bytes of an event stream above which its connection is destroyed. */
 const MAX_UNSENT_BYTES = 4_194_304;
 const NO_CONTENT = 204;
 const NOT_MODIFIED = 304;
 
-/** Why a call was ended before its answer was whole. */
-export const CALL_ENDS = {
-  /** The time of the route or of the caller ran out. */
+/** Why a call was aborted before its answer was complete. */
+export const ABORT_REASONS = {
+  /** The timeout of the route or of the caller has expired. */
   TIMEOUT: "timeout",
   /** The caller closed its connection. */
-  LEFT: "left",
+  CALLER_LEFT: "left",
 } as const;
 
-/** What a call is made from. */
-export interface OpenCallParts extends Admission {
+/** The request of a call and what the gateway has determined about it. */
+export interface OpenCallOptions extends Admission {
   readonly head: CallHead;
   readonly facts: CallFacts;
   readonly body: Buffer;
   readonly service: string;
   readonly response: ServerResponse;
-  /** When the request came, by the local clock. */
+  /** When the request arrived, by the local clock, ms. */
   readonly arrivedAt: number;
 }
 
-/** What is logged when a call has ended. */
-export interface CallStory {
+/** What is logged and counted when a call has ended. */
+export interface CallSummary {
   status: number;
   code: string;
   upstream: string;
@@ -39,11 +39,11 @@
   events: number;
 }
 
-/** A call with its answer to the caller. */
+/** An open call and the answer that is sent to its caller. */
 export class OpenCall {
-  readonly parts: OpenCallParts;
+  readonly parts: OpenCallOptions;
   readonly deadlineAt: number;
-  readonly story: CallStory = {
+  readonly story: CallSummary = {
     status: 0,
     code: "OK",
     upstream: "",
@@ -51,11 +51,11 @@
     events: 0,
   };
   readonly #controller = new AbortController();
-  /** Until when the permit of the next send may be used, by the local clock. */
+  /** Until when the permit for the next send is valid, by the local clock, ms. */
   #permitUntil = -Infinity;
   readonly #timer: NodeJS.Timeout;
 
-  constructor(parts: OpenCallParts, now: number) {
+  constructor(parts: OpenCallOptions, now: number) {
     this.parts = parts;
     const allowed = Math.min(
       parts.facts.patienceMilliseconds,
@@ -63,65 +63,66 @@
     );
     this.deadlineAt = parts.arrivedAt + allowed;
     this.#timer = setTimeout(
-      () => this.#controller.abort(CALL_ENDS.TIMEOUT),
+      () => this.#controller.abort(ABORT_REASONS.TIMEOUT),
       Math.max(0, this.deadlineAt - now),
     );
-    const noteClose = () => {
+    const handleClose = () => {
       if (!parts.response.writableFinished) {
-        this.#controller.abort(CALL_ENDS.LEFT);
+        this.#controller.abort(ABORT_REASONS.CALLER_LEFT);
       }
     };
-    parts.response.on("close", noteClose);
-    // The caller may have left while its request waited to be opened.
-    if (parts.response.destroyed) noteClose();
+    parts.response.on("close", handleClose);
+    // The caller may have disconnected before this object was created.
+    if (parts.response.destroyed) handleClose();
   }
 
-  /** Aborts with one of {@linkcode CALL_ENDS}. */
+  /** Aborts with one of {@linkcode ABORT_REASONS}. */
   get signal(): AbortSignal {
     return this.#controller.signal;
   }
 
-  /** True once the caller has closed its connection. */
-  get hasLeft(): boolean {
-    return this.signal.aborted && this.signal.reason === CALL_ENDS.LEFT;
+  /** True if the call was aborted because its caller disconnected. */
+  get hasCallerLeft(): boolean {
+    return this.signal.aborted &&
+      this.signal.reason === ABORT_REASONS.CALLER_LEFT;
   }
 
-  /** True once any part of an answer was sent. */
-  get hasAnswered(): boolean {
+  /** True once the head of an answer was sent. */
+  get hasStartedAnswer(): boolean {
     return this.parts.response.headersSent;
   }
 
-  /** True if the next send has a permit. */
+  /** True if there is a valid permit for the next send. */
   hasPermit(now: number): boolean {
     return now < this.#permitUntil;
   }
 
-  /** Takes a permit for one send, valid until a time of the local clock. */
-  givePermit(validUntil: number): void {
+  /** Stores a permit for one send, valid until a time of the local clock, ms. */
+  grantPermit(validUntil: number): void {
     this.#permitUntil = validUntil;
   }
 
-  /** Notes that the permit was used by a send that may have run. */
-  usePermit(): void {
+  /** Removes the permit, because a send that may have run has used it. */
+  consumePermit(): void {
     this.#permitUntil = -Infinity;
   }
 
-  /** Time left, ms. */
-  findLeft(now: number): number {
+  /** Time left until the deadline, ms. */
+  findRemainingMilliseconds(now: number): number {
     return this.deadlineAt - now;
   }
 
-  /** Ends the timer; called once, when nothing more is sent to the caller. */
+  /** Stops the deadline timer; called once, when the answer has ended. */
   close(): void {
     clearTimeout(this.#timer);
   }
 
-  /** Sends a whole answer of an upstream. */
+  /** Sends a complete answer of an upstream. */
   answer(status: number, headers: RawHeaders, body: Buffer): void {
     this.story.status = status;
     const { response } = this.parts;
     if (response.destroyed || response.headersSent) return;
-    // An answer that has no body by its kind gets no length of ours.
+    // Answers that never have a body must not get a Content-Length here.
     const hasNoBody = this.parts.head.method === "HEAD" ||
       status === NO_CONTENT || status === NOT_MODIFIED;
     const framed = hasNoBody
@@ -131,34 +132,34 @@
     response.end(body);
   }
 
-  /** Sends an answer of the gateway itself. */
-  answerOwn(answer: OwnAnswer): void {
+  /** Sends an answer that the gateway generated itself. */
+  answerFromGateway(answer: OwnAnswer): void {
     this.story.status = answer.status;
     writeOwnAnswer(this.parts.response, answer);
   }
 
-  /** Notes why the call did not get an answer of an upstream. */
-  noteFailure(error: CodedError): void {
+  /** Records why the call got no answer from an upstream. */
+  recordFailure(error: CodedError): void {
     this.story.code = error.code.name;
   }
 
-  /** Notes the code that the call ended with. */
-  noteCode(code: ResultCode): void {
+  /** Records the result code of the call. */
+  recordCode(code: ResultCode): void {
     this.story.code = code.name;
   }
 
-  /** Sends a part of an answer; false if no more should come for now. */
+  /** Sends a part of an answer; false if the caller's buffer is full. */
   sendPart(bytes: Buffer): boolean {
     const { response } = this.parts;
     return response.destroyed || response.write(bytes);
   }
 
   /** Calls back once the caller has read what was sent. */
-  onRead(callback: () => void): void {
+  onDrain(callback: () => void): void {
     this.parts.response.once("drain", callback);
   }
 
-  /** Starts an answer whose parts follow. */
+  /** Sends the head of an answer whose body follows in parts. */
   startAnswer(status: number, headers: RawHeaders): void {
     this.story.status = status;
     const { response } = this.parts;
@@ -167,7 +168,7 @@
     response.flushHeaders();
   }
 
-  /** Sends one event. */
+  /** Sends one event; destroys the connection if too much is unread. */
   sendEvent(event: Buffer): void {
     this.story.events++;
     const { response } = this.parts;
@@ -176,18 +177,18 @@
     response.write(event);
   }
 
-  /** Ends an answer that was sent in parts as whole. */
+  /** Completes an answer that was sent in parts. */
   endAnswer(): void {
     this.parts.response.end();
   }
 
-  /** Breaks the connection off, so that what was sent does not look whole. */
+  /** Destroys the connection, so that a partial answer does not look complete. */
   breakOff(): void {
     this.parts.response.destroy();
   }
 }
 
-/** Writes an answer of the gateway itself. */
+/** Writes an answer that the gateway generated itself. */
 export function writeOwnAnswer(
   response: ServerResponse,
   answer: OwnAnswer,
--- a/packages/gateway/src/calls/open_call_test.ts
+++ b/packages/gateway/src/calls/open_call_test.ts
@@ -33,18 +33,18 @@
   return call;
 }
 
-test("a caller that left while its request waited is known to have left", (t) => {
-  const gone = { destroyed: true, writableFinished: false };
-  t.ok(openCall(Object.assign(new EventEmitter(), gone)).hasLeft);
+test("a caller that disconnected before its call was opened counts as gone", (t) => {
+  const closed = { destroyed: true, writableFinished: false };
+  t.ok(openCall(Object.assign(new EventEmitter(), closed)).hasCallerLeft);
   t.end();
 });
 
-test("a caller leaves when its connection closes before the answer is whole", (t) => {
-  const there = { destroyed: false, writableFinished: false };
-  const response = Object.assign(new EventEmitter(), there);
+test("a caller whose connection closes before the answer is complete counts as gone", (t) => {
+  const connected = { destroyed: false, writableFinished: false };
+  const response = Object.assign(new EventEmitter(), connected);
   const call = openCall(response);
-  t.notOk(call.hasLeft);
+  t.notOk(call.hasCallerLeft);
   response.emit("close");
-  t.ok(call.hasLeft);
+  t.ok(call.hasCallerLeft);
   t.end();
 });
--- a/packages/gateway/src/calls/program_urgency.ts
+++ b/packages/gateway/src/calls/program_urgency.ts
@@ -1,62 +1,61 @@
 /**
- * Which programs an engine should serve first among those of one route. Nothing
- * here needs a network.
- *
- * The load it answers: a burst in which requests queue at the engines. In the
- * order of their arrival all programs become late together. Served by the time
- * that they have left, those that are nearly done still end in time, and those
- * that are late already take nothing from them.
- *
- * What it buys: at a simulated site of 7 gateways and 8 engines of 16 slots, in
- * a rush of 8 s at twice the usual load, 97% instead of 92% of the programs'
- * worth came in time while engines read many prompts anew. Since prompts are
- * placed where they were read, two such runs show no difference: 100% with and
- * without, and 92% with and 93% without.
+ * Ranks requests of one route by the time that their programs have left, so
+ * that engines with a queue serve programs near their deadline first and those
+ * past it last. Served in order of arrival, all programs of a burst become late
+ * together.
  */
 
-/** How soon a request is served among those of its route; less is sooner. */
+/**
+ * Ranks of requests within a route; lower ranks are served first.
+ *
+ * With 7 gateways, 8 engines of 16 slots and 8 s of twice the usual load, ranks
+ * raised the share of the programs' value that was finished in time from 92% to
+ * 97% while engines processed many prompts again. With prompts routed to the
+ * engine that has them cached, ranks made no difference: 100% with and without
+ * them, or 92% with and 93% without.
+ */
 export const RANKS = {
-  /** Less time is left than to half of the programs: it must not wait. */
-  SOON: 0,
-  USUAL: 1,
-  /** The program is late whatever happens. */
+  /** The program has less time left than the route's median program. */
+  URGENT: 0,
+  NORMAL: 1,
+  /** The program is already past its deadline. */
   LATE: 2,
 } as const;
 
 /** One of {@linkcode RANKS}. */
 export type Rank = typeof RANKS[keyof typeof RANKS];
 
-/** Ranks of a route; a dialect may need them to put routes and ranks in one row. */
+/** Number of ranks, for dialects that merge priority and rank into one number. */
 export const RANK_COUNT = 3;
 
-/** Part of the estimate by which one program moves it: about fifty programs count. */
-const STEP = 0.02;
+/** Fraction by which one program moves the median: about the last 50 count. */
+const MEDIAN_STEP = 0.02;
 
-/** Learns for each route how much time programs usually have left. */
+/** Estimates for each route the median time that its programs have left. */
 export class ProgramUrgency {
-  /** Running median of the time left, ms, by route. */
+  /** Running median of the time left, ms, by route name. */
   readonly #medians = new Map<string, number>();
 
   /**
-   * Ranks a request by the time that its program has left, ms; Infinity if it
-   * does not say.
+   * Ranks a request by the time that its program has left, ms; Infinity if the
+   * caller gave no deadline.
    *
    * @example
    * ```ts
    * const urgency = new ProgramUrgency();
-   * urgency.rank("route", 4_000); // RANKS.USUAL
-   * urgency.rank("route", 500); // RANKS.SOON
+   * urgency.rank("route", 4_000); // RANKS.NORMAL
+   * urgency.rank("route", 500); // RANKS.URGENT
    * urgency.rank("route", 0); // RANKS.LATE
    * ```
    */
   rank(routeName: string, leftMilliseconds: number): Rank {
-    if (!Number.isFinite(leftMilliseconds)) return RANKS.USUAL;
+    if (!Number.isFinite(leftMilliseconds)) return RANKS.NORMAL;
     if (leftMilliseconds <= 0) return RANKS.LATE;
     const median = this.#medians.get(routeName) ?? leftMilliseconds;
     const moved = leftMilliseconds > median
-      ? median * (1 + STEP)
-      : median * (1 - STEP);
+      ? median * (1 + MEDIAN_STEP)
+      : median * (1 - MEDIAN_STEP);
     this.#medians.set(routeName, moved);
-    return leftMilliseconds < median ? RANKS.SOON : RANKS.USUAL;
+    return leftMilliseconds < median ? RANKS.URGENT : RANKS.NORMAL;
   }
 }
--- a/packages/gateway/src/calls/run_attempt.ts
+++ b/packages/gateway/src/calls/run_attempt.ts
@@ -1,4 +1,4 @@
-/** One try to run a call at one upstream. */
+/** Runs one attempt of a call at one upstream. */
 
 import { Buffer } from "node:buffer";
 import { performance } from "node:perf_hooks";
@@ -12,7 +12,7 @@
 import type { AnswerHead, CallerDialect } from "../dialect.ts";
 import { findHeader } from "../http/headers.ts";
 import type { ConnectionLimits, Upstream } from "../upstreams/upstream.ts";
-import { isServerFailure, judgeAnswer } from "./judge_answer.ts";
+import { classifyAnswer, isServerError } from "./judge_answer.ts";
 import type {
   AnswerListener,
   Belonging,
@@ -21,92 +21,98 @@
 } from "../upstreams/upstream_connection.ts";
 
 /**
- * Answers up to this are gathered, so that another upstream can be asked while
- * the caller has seen nothing, bytes; larger ones are passed on as they come.
+ * Answers up to this size, bytes, are buffered, so that the call can still be
+ * retried at another upstream; larger answers are streamed to the caller.
  */
-const GATHERED_BYTES = 1_048_576;
-/** Time without work for an upstream that says it is full, ms: about one short request. */
-const FULL_MILLISECONDS = 60;
+const MAX_BUFFERED_BYTES = 1_048_576;
+/** Backoff after an upstream reports that it is full, ms: about one short request. */
+const FULL_BACKOFF_MILLISECONDS = 60;
 
 /**
- * Shortest wait without a head that tells against an upstream when the call's
- * time runs out or its caller leaves, ms: longer than a queue of short requests.
+ * Wait for the head of an answer, ms, from which an aborted call counts as a
+ * failure of the upstream: longer than it takes to serve a queue of short
+ * requests.
  */
-const HANGING_MILLISECONDS = 500;
-/** Status of an upstream that the time it was given did not suffice. */
-const TIME_PASSED = 504;
+const UNRESPONSIVE_MILLISECONDS = 500;
+/** Status for a request whose remaining time was too short for the upstream. */
+const GATEWAY_TIMEOUT_STATUS = 504;
 
-/** How an attempt ended. */
-export type AttemptEnd =
+/**
+ * How an attempt ended: with a complete answer, certainly not run, or lost, so
+ * that it may have run.
+ */
+export type AttemptResult =
   | {
     readonly kind: "whole";
     readonly head: AnswerHead;
-    /** Empty if the answer was passed on as it came. */
+    /** Empty if the answer was streamed to the caller. */
     readonly body: Buffer;
     readonly streamed: boolean;
   }
   | { readonly kind: "not_run"; readonly error: CodedError }
   | { readonly kind: "lost"; readonly error: CodedError };
 
-/** Takes the events of a stream as they come. */
+/** Receives the events of a stream as they arrive. */
 export interface EventSink {
   start(head: AnswerHead): void;
-  /** Returns false if the bytes are no events. */
+  /** Returns false if the bytes are not a valid event stream. */
   push(bytes: Buffer): boolean;
-  /** True if no event waits for its end. */
+  /** True if no event is incomplete. */
   isAtEventEnd(): boolean;
-  /** Id of the last event that was passed on; empty if there is none. */
+  /** Id of the last event that was sent to the caller; empty if there is none. */
   readonly lastId: string;
-  /** True if what comes after the events that were passed on can be asked for. */
-  readonly canGoOn: boolean;
+  /** True if another upstream can resume the stream after the last sent event. */
+  readonly canResume: boolean;
 }
 
-/** Takes a large answer as it comes. */
+/** Receives a large answer as it arrives. */
 export interface BodySink {
   start(head: AnswerHead): void;
-  /** Returns false if no more should come until {@linkcode onReady}. */
+  /** Returns false if reading should pause until {@linkcode onDrain} calls back. */
   push(bytes: Buffer): boolean;
-  /** Calls back once more may come. */
-  onReady(callback: () => void): void;
+  /** Calls back once reading may resume. */
+  onDrain(callback: () => void): void;
 }
 
-/** What an attempt is made from. */
+/** The upstream, the request and the limits of an attempt. */
 export interface AttemptOptions {
   readonly upstream: Upstream;
   readonly request: OutgoingRequest;
   readonly callId: string;
   readonly dialect: CallerDialect;
   readonly limits: ConnectionLimits;
-  /** Aborts when the call has ended. */
+  /** Aborts when the call times out or its caller disconnects. */
   readonly signal: AbortSignal;
-  /** Silence before the head after which the attempt is given up, ms. */
+  /** Wait for the head of an answer after which the attempt is abandoned, ms. */
   readonly silentMilliseconds: number;
-  /** Silence within a stream after which it goes on elsewhere, ms. */
-  readonly pauseMilliseconds: number;
-  /** Missing if the route does not answer with events. */
+  /** Pause within a stream after which the attempt is abandoned, ms. */
+  readonly streamSilentMilliseconds: number;
+  /** Missing if the route does not stream events. */
   readonly events?: EventSink;
   readonly body: BodySink;
   /** Why the request may not be written now; undefined if it may. */
-  readonly findObstacle: (now: number) => CodedError | undefined;
+  readonly findRefusal: (now: number) => CodedError | undefined;
 }
 
-/** Runs one attempt to its end. */
-export async function runAttempt(options: AttemptOptions): Promise<AttemptEnd> {
+/** Runs one attempt until it has a result. */
+export async function runAttempt(
+  options: AttemptOptions,
+): Promise<AttemptResult> {
   const { upstream, limits } = options;
   upstream.running++;
   try {
     const opened = await upstream.acquire(limits, performance.now());
-    if (opened.err) return refuseConnection(upstream, opened.val);
+    if (opened.err) return handleAcquireFailure(upstream, opened.val);
     const connection = opened.val;
     if (options.signal.aborted) {
       upstream.release(connection, limits, performance.now());
-      return { kind: "not_run", error: describe(RESULT_CODES.CALL_TIMEOUT) };
+      return { kind: "not_run", error: createError(RESULT_CODES.CALL_TIMEOUT) };
     }
-    // The process may have stood still since the call was admitted.
-    const obstacle = options.findObstacle(performance.now());
-    if (obstacle !== undefined) {
+    // The process may have been suspended since the call was admitted.
+    const refusal = options.findRefusal(performance.now());
+    if (refusal !== undefined) {
       upstream.release(connection, limits, performance.now());
-      return { kind: "not_run", error: obstacle };
+      return { kind: "not_run", error: refusal };
     }
     const attempt = new Attempt(options, connection);
     return await attempt.run();
@@ -115,68 +121,71 @@
   }
 }
 
-function refuseConnection(upstream: Upstream, error: CodedError): AttemptEnd {
+function handleAcquireFailure(
+  upstream: Upstream,
+  error: CodedError,
+): AttemptResult {
   const now = performance.now();
   if (error.code === RESULT_CODES.QUEUE_FULL) {
-    upstream.health.noteFull(now, FULL_MILLISECONDS);
+    upstream.health.noteFull(now, FULL_BACKOFF_MILLISECONDS);
   } else upstream.health.noteFailure(now);
   return { kind: "not_run", error };
 }
 
-function describe(code: ResultCode, message = code.meaning): CodedError {
+function createError(code: ResultCode, message = code.meaning): CodedError {
   return { code, message };
 }
 
 class Attempt implements AnswerListener {
   readonly #options: AttemptOptions;
   readonly #connection: UpstreamConnection;
-  readonly #done: Deferred<AttemptEnd> = createDeferred<AttemptEnd>();
+  readonly #done: Deferred<AttemptResult> = createDeferred<AttemptResult>();
   readonly #sentAt = performance.now();
   #head: AnswerHead | undefined;
-  #parts: Buffer[] = [];
-  #length = 0;
+  #buffered: Buffer[] = [];
+  #bufferedBytes = 0;
   #isStream = false;
-  #isPassedOn = false;
+  #isForwarding = false;
   #notRun: CodedError | undefined;
-  #silence: NodeJS.Timeout | undefined;
+  #silenceTimer: NodeJS.Timeout | undefined;
 
   constructor(options: AttemptOptions, connection: UpstreamConnection) {
     this.#options = options;
     this.#connection = connection;
   }
 
-  async run(): Promise<AttemptEnd> {
+  async run(): Promise<AttemptResult> {
     const { upstream, limits, signal, request } = this.#options;
     const connection = this.#connection;
-    const abort = () => this.#endTime();
-    this.#watchSilence(this.#options.silentMilliseconds);
+    const abort = () => this.#handleAbort();
+    this.#startSilenceTimer(this.#options.silentMilliseconds);
     signal.addEventListener("abort", abort, { once: true });
     connection.onIdle = () =>
       upstream.release(connection, limits, performance.now());
     upstream.health.noteSent(this, this.#sentAt);
     connection.send(request, this);
-    const end = await this.#done.promise;
+    const result = await this.#done.promise;
     upstream.health.noteHeard(this);
-    this.#endWatch();
+    this.#stopSilenceTimer();
     signal.removeEventListener("abort", abort);
-    return end;
+    return result;
   }
 
   onHead(head: AnswerHead): Belonging {
     const { dialect, callId, events } = this.#options;
-    const judged = judgeAnswer(dialect.readAnswer(head), callId);
-    if (judged.belonging !== "own") return judged.belonging;
+    const classified = classifyAnswer(dialect.readAnswer(head), callId);
+    if (classified.belonging !== "own") return classified.belonging;
     this.#options.upstream.health.noteHeard(this);
-    this.#noteRest(head);
-    if (judged.notRun !== undefined) this.#noteNotRun(judged.notRun);
+    this.#recordKeepAlive(head);
+    if (classified.notRun !== undefined) this.#recordNotRun(classified.notRun);
     this.#head = head;
-    this.#endWatch();
+    this.#stopSilenceTimer();
     const type = findHeader(head.headers, "content-type") ?? "";
     this.#isStream = events !== undefined && head.status === 200 &&
       this.#notRun === undefined && type.startsWith("text/event-stream");
     if (this.#isStream) {
-      this.#noteTime();
-      this.#watchSilence(this.#options.pauseMilliseconds);
+      this.#recordLatency();
+      this.#startSilenceTimer(this.#options.streamSilentMilliseconds);
       events?.start(head);
     }
     return "own";
@@ -184,33 +193,33 @@
 
   onBody(bytes: Buffer): void {
     if (this.#isStream) {
-      this.#silence?.refresh();
+      this.#silenceTimer?.refresh();
       if (this.#options.events?.push(bytes) === false) {
-        this.#giveUp(RESULT_CODES.ANSWER_SPOILED);
+        this.#abandon(RESULT_CODES.ANSWER_SPOILED);
       }
       return;
     }
-    if (this.#isPassedOn) return this.#passOn(bytes);
-    this.#length += bytes.length;
-    this.#parts.push(bytes);
-    if (this.#length > GATHERED_BYTES) this.#startPassingOn();
+    if (this.#isForwarding) return this.#forward(bytes);
+    this.#bufferedBytes += bytes.length;
+    this.#buffered.push(bytes);
+    if (this.#bufferedBytes > MAX_BUFFERED_BYTES) this.#startForwarding();
   }
 
   onWhole(): void {
     const head = this.#head;
-    if (head === undefined) return this.#giveUp(RESULT_CODES.INTERNAL);
+    if (head === undefined) return this.#abandon(RESULT_CODES.INTERNAL);
     if (this.#notRun !== undefined) {
       return this.#done.resolve({ kind: "not_run", error: this.#notRun });
     }
-    const isCut = this.#isStream &&
+    const isTruncated = this.#isStream &&
       this.#options.events?.isAtEventEnd() === false;
-    if (isCut) return this.#giveUp(RESULT_CODES.ANSWER_SPOILED);
-    if (!this.#isStream && !this.#isPassedOn) this.#noteResult(head);
+    if (isTruncated) return this.#abandon(RESULT_CODES.ANSWER_SPOILED);
+    if (!this.#isStream && !this.#isForwarding) this.#recordResult(head);
     this.#done.resolve({
       kind: "whole",
       head,
-      body: Buffer.concat(this.#parts),
-      streamed: this.#isStream || this.#isPassedOn,
+      body: Buffer.concat(this.#buffered),
+      streamed: this.#isStream || this.#isForwarding,
     });
   }
 
@@ -219,79 +228,79 @@
       return this.#done.resolve({ kind: "not_run", error: this.#notRun });
     }
     this.#options.upstream.health.noteFailure(performance.now());
-    this.#done.resolve({ kind: "lost", error: describe(code, message) });
+    this.#done.resolve({ kind: "lost", error: createError(code, message) });
   }
 
-  #startPassingOn(): void {
+  #startForwarding(): void {
     const head = this.#head;
-    if (head === undefined) return this.#giveUp(RESULT_CODES.INTERNAL);
-    // A refusal is never passed on, so its text need not be kept.
+    if (head === undefined) return this.#abandon(RESULT_CODES.INTERNAL);
+    // A refusal is never sent to the caller, so its body is dropped.
     if (this.#notRun !== undefined) {
-      this.#parts = [];
+      this.#buffered = [];
       return;
     }
-    this.#isPassedOn = true;
-    this.#noteResult(head);
+    this.#isForwarding = true;
+    this.#recordResult(head);
     this.#options.body.start(head);
-    for (const part of this.#parts.splice(0)) this.#passOn(part);
+    for (const part of this.#buffered.splice(0)) this.#forward(part);
   }
 
-  #passOn(bytes: Buffer): void {
+  #forward(bytes: Buffer): void {
     const { body } = this.#options;
     if (body.push(bytes)) return;
     this.#connection.pause();
-    body.onReady(() => this.#connection.resume());
+    body.onDrain(() => this.#connection.resume());
   }
 
-  #watchSilence(milliseconds: number): void {
+  #startSilenceTimer(milliseconds: number): void {
     if (!Number.isFinite(milliseconds)) return;
-    this.#silence = setTimeout(() => this.#endSilence(), milliseconds);
+    this.#silenceTimer = setTimeout(() => this.#handleSilence(), milliseconds);
   }
 
-  #endWatch(): void {
-    clearTimeout(this.#silence);
-    this.#silence = undefined;
+  #stopSilenceTimer(): void {
+    clearTimeout(this.#silenceTimer);
+    this.#silenceTimer = undefined;
   }
 
-  #endSilence(): void {
+  #handleSilence(): void {
     this.#options.upstream.health.noteFailure(performance.now());
-    this.#giveUp(RESULT_CODES.TIMEOUT);
+    this.#abandon(RESULT_CODES.TIMEOUT);
   }
 
-  /** The call's time is over, or its caller has left. */
-  #endTime(): void {
+  /** Handles the call's timeout or its caller's disconnect. */
+  #handleAbort(): void {
     const now = performance.now();
-    const isHanging = this.#head === undefined &&
-      now - this.#sentAt >= HANGING_MILLISECONDS;
-    if (isHanging) this.#options.upstream.health.noteFailure(now);
-    this.#giveUp(RESULT_CODES.CALL_TIMEOUT);
+    const isUnresponsive = this.#head === undefined &&
+      now - this.#sentAt >= UNRESPONSIVE_MILLISECONDS;
+    if (isUnresponsive) this.#options.upstream.health.noteFailure(now);
+    this.#abandon(RESULT_CODES.CALL_TIMEOUT);
   }
 
-  #giveUp(code: ResultCode): void {
+  #abandon(code: ResultCode): void {
     this.#connection.destroy();
-    this.#done.resolve({ kind: "lost", error: describe(code) });
+    this.#done.resolve({ kind: "lost", error: createError(code) });
   }
 
-  /** A failure says nothing of how fast the upstream is. */
-  #noteResult(head: AnswerHead): void {
-    if (head.status === TIME_PASSED) return;
-    if (!isServerFailure(head.status)) return this.#noteTime();
+  /** Records a latency or a failure; a failure says nothing about latency. */
+  #recordResult(head: AnswerHead): void {
+    if (head.status === GATEWAY_TIMEOUT_STATUS) return;
+    if (!isServerError(head.status)) return this.#recordLatency();
     this.#options.upstream.health.noteFailure(performance.now());
   }
 
-  #noteTime(): void {
+  #recordLatency(): void {
     const now = performance.now();
     this.#options.upstream.health.noteTime(now - this.#sentAt, now);
   }
 
-  #noteNotRun(error: CodedError): void {
+  #recordNotRun(error: CodedError): void {
     const { upstream } = this.#options;
     this.#notRun = error;
     if (error.code === RESULT_CODES.NO_UPSTREAM) upstream.retire();
-    else upstream.health.noteFull(performance.now(), FULL_MILLISECONDS);
+    else upstream.health.noteFull(performance.now(), FULL_BACKOFF_MILLISECONDS);
   }
 
-  #noteRest(head: AnswerHead): void {
+  #recordKeepAlive(head: AnswerHead): void {
     const keepAlive = findHeader(head.headers, "keep-alive") ?? "";
     const seconds = /timeout=(\d+)/.exec(keepAlive)?.[1];
     if (seconds !== undefined) {
--- a/packages/gateway/src/calls/run_attempt_at.ts
+++ b/packages/gateway/src/calls/run_attempt_at.ts
@@ -1,4 +1,4 @@
-/** Makes one attempt of a call: what is sent, and how long it may be silent. */
+/** Prepares and runs one attempt of a call: its headers, limits and timeouts. */
 
 import type { Buffer } from "node:buffer";
 import { dropHopHeaders } from "../http/headers.ts";
@@ -7,22 +7,29 @@
 import type { ConnectionLimits, Upstream } from "../upstreams/upstream.ts";
 import { hasWorkspaces } from "../workspaces/scoped_id.ts";
 import { BodyRelay } from "./body_relay.ts";
-import type { CallParts } from "./call_parts.ts";
+import type { CallDependencies } from "./call_parts.ts";
 import type { OpenCall } from "./open_call.ts";
-import { type AttemptEnd, type EventSink, runAttempt } from "./run_attempt.ts";
+import {
+  type AttemptResult,
+  type EventSink,
+  runAttempt,
+} from "./run_attempt.ts";
 
-/** Connections that are left to health checks and to gateways not yet known. */
-const SPARE_GATEWAYS = 1;
-/** Times that an answer usually takes after which silence means a failure. */
-const SILENT_TIMES = 4;
-const LAST_EVENT: ReadonlySet<string> = new Set(["last-event-id"]);
+/**
+ * Shares of an upstream's connections, each as large as a gateway's, that are
+ * left to health checks and to gateways not known yet.
+ */
+const RESERVED_GATEWAY_SHARES = 1;
+/** Multiple of the typical latency after which silence counts as a failure. */
+const SILENCE_FACTOR = 4;
+const LAST_EVENT_HEADERS: ReadonlySet<string> = new Set(["last-event-id"]);
 
-/** What is sent, and where it would be served best. */
+/** The body to send and the upstreams to prefer. */
 export interface SendOptions {
   readonly body: Buffer;
-  /** Upstream that ran the history; empty if there is none. */
+  /** Upstream that ran the previous turn; empty if there is none. */
   readonly preferredId: string;
-  /** Upstream to prefer where this gateway knows no better; empty if none. */
+  /** Upstream to prefer if this gateway knows no better one; empty if none. */
   readonly fallbackId?: string;
   readonly events?: EventSink;
 }
@@ -32,16 +39,16 @@
   upstream: Upstream,
   call: OpenCall,
   details: {
-    readonly parts: CallParts;
+    readonly parts: CallDependencies;
     readonly options: SendOptions;
     readonly now: number;
-    /** True if no other attempt may follow one that may have run. */
+    /** True if the call may not be retried after this attempt may have run. */
     readonly isLast: boolean;
   },
-): Promise<AttemptEnd> {
+): Promise<AttemptResult> {
   const { parts, options, now } = details;
   const { head, facts, route, table, workspace } = call.parts;
-  const left = call.findLeft(now);
+  const remaining = call.findRemainingMilliseconds(now);
   call.story.sends++;
   parts.prompts.note(facts.promptParts, upstream.instance.id);
   return await runAttempt({
@@ -50,22 +57,22 @@
     dialect: parts.dialect,
     limits: findLimits(call, parts),
     signal: call.signal,
-    // Silence alone ends an attempt only where another one may follow.
+    // Silence ends an attempt early only if the call may be retried.
     silentMilliseconds: details.isLast
-      ? left
-      : Math.min(left, findSilence(call, parts, now)),
-    pauseMilliseconds: details.isLast || !isResumable(route)
+      ? remaining
+      : Math.min(remaining, findSilenceLimit(call, parts, now)),
+    streamSilentMilliseconds: details.isLast || !isResumable(route)
       ? Infinity
       : parts.settings.silentMilliseconds,
     events: options.events,
     body: new BodyRelay(call),
-    findObstacle: (now) => parts.gate.findObstacle(call, now),
+    findRefusal: (now) => parts.gate.findRefusal(call, now),
     request: {
       method: head.method,
       target: head.target,
-      headers: addLastEvent(
+      headers: addLastEventId(
         parts.dialect.writeAttempt(head.headers, {
-          remainingMilliseconds: Math.max(1, Math.floor(left)),
+          remainingMilliseconds: Math.max(1, Math.floor(remaining)),
           instanceId: upstream.instance.ownId ?? upstream.instance.id,
           priority: workspace?.priority ?? route.priority,
           ...(hasWorkspaces(table.document)
@@ -81,24 +88,41 @@
 }
 
 /**
- * Silence after which a call goes elsewhere, ms. It grows with what the service
- * takes now, so that a queue that all upstreams have does not double their work.
+ * Silence after which a call is retried at another upstream, ms. It grows with
+ * the current latency of the service: if all upstreams have a queue, retries
+ * would double their load.
  */
-function findSilence(call: OpenCall, parts: CallParts, now: number): number {
-  const typical = parts.upstreams.findTypical(call.parts.service, now);
-  return Math.max(parts.settings.silentMilliseconds, SILENT_TIMES * typical);
+function findSilenceLimit(
+  call: OpenCall,
+  parts: CallDependencies,
+  now: number,
+): number {
+  const typicalMilliseconds = parts.upstreams.findTypical(
+    call.parts.service,
+    now,
+  );
+  return Math.max(
+    parts.settings.silentMilliseconds,
+    SILENCE_FACTOR * typicalMilliseconds,
+  );
 }
 
-/** Asks an upstream to go on after an event that the caller has. */
-function addLastEvent(headers: RawHeaders, lastId: string): RawHeaders {
+/** Asks the upstream to resume after the last event that the caller received. */
+function addLastEventId(headers: RawHeaders, lastId: string): RawHeaders {
   if (lastId === "") return headers;
-  return [...dropHopHeaders(headers, LAST_EVENT), "Last-Event-Id", lastId];
+  return [
+    ...dropHopHeaders(headers, LAST_EVENT_HEADERS),
+    "Last-Event-Id",
+    lastId,
+  ];
 }
 
-function findLimits(call: OpenCall, parts: CallParts): ConnectionLimits {
+function findLimits(call: OpenCall, parts: CallDependencies): ConnectionLimits {
   const { table, service } = call.parts;
-  const all = table.findService(service)?.maxConnections ?? 1;
-  const share = Math.floor(all / (parts.countGateways() + SPARE_GATEWAYS));
+  const totalConnections = table.findService(service)?.maxConnections ?? 1;
+  const share = Math.floor(
+    totalConnections / (parts.countGateways() + RESERVED_GATEWAY_SHARES),
+  );
   return {
     maxConnections: Math.max(1, share),
     connectMilliseconds: parts.settings.connectMilliseconds,
--- a/packages/gateway/src/calls/run_plain_call.ts
+++ b/packages/gateway/src/calls/run_plain_call.ts
@@ -1,54 +1,54 @@
-/** Runs a call that no history is kept for. */
+/** Runs a call without a history and answers its caller. */
 
 import { RESULT_CODES } from "@mallowlift/core";
 import { dropHopHeaders } from "../http/headers.ts";
-import type { CallFailure, CallParts } from "./call_parts.ts";
+import type { CallDependencies, CallFailure } from "./call_parts.ts";
 import { EventRelay } from "./event_relay.ts";
 import type { OpenCall } from "./open_call.ts";
 import { sendCall } from "./send_call.ts";
 
-/** When a refused caller should come back, ms: a few short requests later. */
-export const COME_BACK_MILLISECONDS = 250;
+/** Default retry delay for a refused caller, ms: a few short requests. */
+export const RETRY_AFTER_MILLISECONDS = 250;
 
 /** Runs a call and answers its caller. */
 export async function runPlainCall(
   call: OpenCall,
-  parts: CallParts,
+  parts: CallDependencies,
 ): Promise<void> {
   const events = new EventRelay(call);
-  const end = await sendCall(call, parts, {
+  const result = await sendCall(call, parts, {
     body: call.parts.body,
     preferredId: "",
     events: call.parts.route.kind === "stream" ? events : undefined,
   });
-  if ("failure" in end) return failCall(call, parts, end.failure);
-  if (end.answer.streamed) return call.endAnswer();
-  const { head, body } = end.answer;
+  if ("failure" in result) return failCall(call, parts, result.failure);
+  if (result.answer.streamed) return call.endAnswer();
+  const { head, body } = result.answer;
   call.answer(head.status, dropHopHeaders(head.headers), body);
 }
 
-/** Answers that a call has failed; breaks off if part of an answer was sent. */
+/** Sends a failure; destroys the connection if part of an answer was sent. */
 export function failCall(
   call: OpenCall,
-  parts: CallParts,
+  parts: CallDependencies,
   failure: CallFailure,
 ): void {
   const { error, notRun } = failure;
-  call.noteFailure(error);
-  if (call.hasLeft) return;
+  call.recordFailure(error);
+  if (call.hasCallerLeft) return;
   if (call.parts.response.headersSent) return call.breakOff();
-  // Only what was never run may be told with a code that promises so.
-  const isPromise = error.code.notRun;
-  const code = notRun === isPromise
+  // A code that guarantees "not run" may be sent only if nothing was run.
+  const promisesNotRun = error.code.notRun;
+  const code = notRun === promisesNotRun
     ? error.code
     : notRun
     ? RESULT_CODES.ATTEMPTS_EXHAUSTED
     : RESULT_CODES.OUTCOME_UNKNOWN;
-  call.answerOwn(parts.dialect.writeFailure({
+  call.answerFromGateway(parts.dialect.writeFailure({
     code,
     message: error.message,
     retryAfterMilliseconds: notRun
-      ? error.retryAfterMilliseconds ?? COME_BACK_MILLISECONDS
+      ? error.retryAfterMilliseconds ?? RETRY_AFTER_MILLISECONDS
       : undefined,
   }));
 }
--- a/packages/gateway/src/calls/run_turn.ts
+++ b/packages/gateway/src/calls/run_turn.ts
@@ -1,4 +1,4 @@
-/** Runs a turn of a program: its history is kept by the stores. */
+/** Runs a turn of a program, whose history and token budget the stores keep. */
 
 import { Buffer } from "node:buffer";
 import { performance } from "node:perf_hooks";
@@ -17,32 +17,32 @@
 import type { PermitPool } from "../quotas/permit_pool.ts";
 import type { SiteClient } from "../site/site_client.ts";
 import { findScope, scopeId } from "../workspaces/scoped_id.ts";
-import type { CallParts } from "./call_parts.ts";
+import type { CallDependencies } from "./call_parts.ts";
 import { EventRelay } from "./event_relay.ts";
 import type { OpenCall } from "./open_call.ts";
 import { failCall } from "./run_plain_call.ts";
 import { sendCall } from "./send_call.ts";
 import { joinPrompt, type TurnCache } from "./turn_cache.ts";
 
-/** When to come back while the stores have no leader, ms: an election takes about as long. */
-const NO_LEADER_MILLISECONDS = 800;
-/** Part of a call's time that may be spent on waiting for a leader. */
-const LEADER_WAIT_PART = 0.5;
-/** Longest time to settle a turn whose caller has gone, ms. */
-const SETTLE_MILLISECONDS = 10_000;
+/** Retry delay while there is no leader, ms: about the time of an election. */
+const NO_LEADER_RETRY_MILLISECONDS = 800;
+/** Fraction of a call's remaining time to wait for a leader at most. */
+const LEADER_WAIT_FRACTION = 0.5;
+/** Timeout for settling a turn in the background, ms. */
+const SETTLE_TIMEOUT_MILLISECONDS = 10_000;
 
-/** What a turn needs besides what every call needs. */
-export interface TurnParts extends CallParts {
+/** Dependencies of turns in addition to those of all calls. */
+export interface TurnParts extends CallDependencies {
   readonly client: SiteClient;
   readonly permits: PermitPool;
   readonly cache: TurnCache;
 }
 
-/** What a turn goes on from. */
+/** What the stores returned for a turn that has begun. */
 interface BegunTurn {
-  /** Earlier turns of its line, oldest first. */
+  /** The chain of earlier turns that this one continues, oldest first. */
   readonly chain: readonly KeptTurn[];
-  /** Where the program ran last; empty if that is not known. */
+  /** Upstream that ran the program last; empty if unknown. */
   readonly latestUpstream: string;
 }
 
@@ -52,39 +52,39 @@
   if (begun.err) return refuseTurn(call, parts, begun.val);
   const { chain, latestUpstream } = begun.val;
   const relay = new EventRelay(call);
-  const end = await sendCall(call, parts, {
+  const result = await sendCall(call, parts, {
     body: joinPrompt(chain, call.parts.body),
     preferredId: chain.at(-1)?.upstream ?? "",
     fallbackId: latestUpstream,
     events: relay,
   });
-  if ("failure" in end) {
+  if ("failure" in result) {
     settleTurn(call, parts, { events: relay.count });
-    return failCall(call, parts, end.failure);
+    return failCall(call, parts, result.failure);
   }
-  if (!end.answer.streamed) {
+  if (!result.answer.streamed) {
     settleTurn(call, parts, { events: 0 });
-    const { head, body } = end.answer;
+    const { head, body } = result.answer;
     return call.answer(head.status, dropHopHeaders(head.headers), body);
   }
   if (!call.parts.route.keepsHistory) {
-    // Nothing of it is asked for again, so only its tokens go to the stores,
-    // and its caller need not wait for them: until then the reserve stands. On
-    // a simulated site of 7 gateways that saves 35% of all bytes between
-    // failure domains (74 instead of 114 MB in 50 s, one run each).
-    settleTurn(call, parts, { events: relay.count, upstream: end.upstream });
+    // Without a history the stores need only the number of tokens. The caller
+    // does not wait for that, since the reserved tokens stay reserved until
+    // then. With 7 gateways this saved 35% of the bytes sent between failure
+    // domains (74 instead of 114 MB in 50 s).
+    settleTurn(call, parts, { events: relay.count, upstream: result.upstream });
     return call.endAnswer();
   }
-  await endTurn(call, parts, { relay, upstream: end.upstream });
+  await endTurn(call, parts, { relay, upstream: result.upstream });
 }
 
-/** What the stores know a turn by: ids that only its workspace can name. */
+/** The ids of a turn in the stores, scoped to its workspace. */
 function findTurnIds(
   call: OpenCall,
 ): Pick<BeginTurn, "turnId" | "programId" | "previousId"> {
   const { facts, route, table, workspace } = call.parts;
   const scope = findScope(table.document, workspace);
-  // Nothing goes on from a turn where no history is kept.
+  // Without a history, no turn can continue another one.
   const previousId = route.keepsHistory ? facts.previousTurnId : "";
   return {
     turnId: scopeId(scope, facts.callId),
@@ -93,52 +93,57 @@
   };
 }
 
-/** Reserves the turn's tokens and gets its history. */
+/** Reserves the turn's tokens and fetches its history. */
 async function beginTurn(
   call: OpenCall,
   parts: TurnParts,
 ): Promise<Outcome<BegunTurn>> {
   const { cache } = parts;
   const { programId, previousId } = findTurnIds(call);
-  const askedAt = performance.now();
-  const begun = await askToBegin(call, parts, {
-    missingFrom: cache.findMissing(previousId),
-    knownTurns: cache.listWhole(programId),
+  const requestedAt = performance.now();
+  const begun = await requestBegin(call, parts, {
+    missingFrom: cache.findMissingTurnId(previousId),
+    knownTurns: cache.listCompleteTurnIds(programId),
   });
   if (begun.err) return begun;
   const { turns, latestUpstream = "", isCharged } = begun.val;
-  // The permit is as old as the first ask, whichever one was answered.
-  if (isCharged === true) parts.gate.givePermit(call, askedAt);
+  // A retry inside the client may be what was answered, so the permit's
+  // validity counts from the first request.
+  if (isCharged === true) parts.gate.grantPermit(call, requestedAt);
   for (const turn of turns) cache.put(turn, programId);
   const chain = cache.listChain(previousId);
   if (chain !== undefined) return Ok({ chain, latestUpstream });
-  // What was known may have been dropped meanwhile; a history too large for
-  // the cache is used as it was fetched.
-  const all = await askToBegin(call, parts, {
+  // Cached turns may have been evicted during the request. A history that is
+  // too large for the cache is used as it was fetched.
+  const full = await requestBegin(call, parts, {
     missingFrom: previousId,
     knownTurns: [],
   });
-  if (all.err) return all;
-  return Ok({ chain: all.val.turns.toReversed(), latestUpstream });
+  if (full.err) return full;
+  return Ok({ chain: full.val.turns.toReversed(), latestUpstream });
 }
 
-/** Asks the stores to begin a turn; asking again changes nothing. */
-async function askToBegin(
+/** Asks the stores to begin a turn; the request is idempotent. */
+async function requestBegin(
   call: OpenCall,
   parts: TurnParts,
-  held: Pick<BeginTurn, "missingFrom" | "knownTurns">,
+  cached: Pick<BeginTurn, "missingFrom" | "knownTurns">,
 ): Promise<Outcome<TurnBegun>> {
   const { facts } = call.parts;
   const { client, settings } = parts;
-  const left = call.findLeft(performance.now());
+  const remaining = call.findRemainingMilliseconds(performance.now());
   const quota = parts.gate.findQuota(call);
-  return await client.call("turns.begin", {
-    ...findTurnIds(call),
-    tokenBudget: facts.tokenBudget,
-    mostTokens: facts.mostTokens,
-    ...(quota === undefined ? {} : { quota: quota.bound }),
-    ...held,
-  }, Math.min(settings.leaderWaitMilliseconds, LEADER_WAIT_PART * left));
+  return await client.call(
+    "turns.begin",
+    {
+      ...findTurnIds(call),
+      tokenBudget: facts.tokenBudget,
+      mostTokens: facts.mostTokens,
+      ...(quota === undefined ? {} : { quota: quota.bound }),
+      ...cached,
+    },
+    Math.min(settings.leaderWaitMilliseconds, LEADER_WAIT_FRACTION * remaining),
+  );
 }
 
 function refuseTurn(
@@ -148,46 +153,49 @@
 ): void {
   const { code } = error;
   if (code === RESULT_CODES.QUOTA_EXCEEDED) {
-    const refused = parts.permits.refuse(error.retryAfterMilliseconds ?? 0);
+    const refused = parts.permits.refuseForQuota(
+      error.retryAfterMilliseconds ?? 0,
+    );
     return failCall(call, parts, { error: refused.val, notRun: true });
   }
   const isFinal = code === RESULT_CODES.TURN_NOT_FOUND ||
     code === RESULT_CODES.BUDGET_EXCEEDED;
   if (isFinal) return failCall(call, parts, { error, notRun: true });
   if (code === RESULT_CODES.LEADER_BUSY) {
-    return refuseForLoad(call, parts, error);
+    return refuseOverload(call, parts, error);
   }
   countRefusal(parts.metrics, "turns", code);
-  // The reserve may have been made although nobody said so.
+  // The tokens may have been reserved although no reply arrived.
   settleTurn(call, parts, { events: 0 });
   parts.logger.info("Turn refused", {
     call: call.parts.facts.callId,
     program: call.parts.facts.programId,
     reason: code.name,
     leader: parts.client.leader ?? "",
-    left_ms: Math.round(call.findLeft(performance.now())),
+    left_ms: Math.round(call.findRemainingMilliseconds(performance.now())),
   });
   failCall(call, parts, {
     error: {
       code: RESULT_CODES.NO_QUORUM,
       message: RESULT_CODES.NO_QUORUM.meaning,
-      retryAfterMilliseconds: NO_LEADER_MILLISECONDS,
+      retryAfterMilliseconds: NO_LEADER_RETRY_MILLISECONDS,
     },
     notRun: true,
   });
 }
 
 /**
- * Nothing was reserved, so there is nothing to settle: a refusal costs the
- * leader no entry. Callers come back spread over as long again as they wait,
- * or they would all ask in the same moment.
+ * Refuses a turn because the leader is overloaded. The leader has reserved
+ * nothing, so there is nothing to settle, and the refusal adds no log entry. The
+ * retry delay is lengthened by up to its own length at random, so that callers
+ * do not all retry at the same moment.
  */
-function refuseForLoad(
+function refuseOverload(
   call: OpenCall,
   parts: TurnParts,
   error: CodedError,
 ): void {
-  const pause = error.retryAfterMilliseconds ?? NO_LEADER_MILLISECONDS;
+  const pause = error.retryAfterMilliseconds ?? NO_LEADER_RETRY_MILLISECONDS;
   countRefusal(parts.metrics, "turns", error.code);
   failCall(call, parts, {
     error: {
@@ -198,7 +206,7 @@
   });
 }
 
-/** Keeps the turn before its caller sees the end of the answer. */
+/** Stores the turn before its caller receives the end of the answer. */
 async function endTurn(
   call: OpenCall,
   parts: TurnParts,
@@ -207,12 +215,13 @@
   const { relay, upstream } = details;
   const { facts, body } = call.parts;
   const output = relay.joinData();
-  const askedAt = performance.now();
+  const requestedAt = performance.now();
   const quota = parts.gate.findQuota(call);
-  // Calls of tools follow many turns, and go with what is sent anyway.
+  // Many turns are followed by tool calls, whose permits are requested with
+  // this message instead of one of their own.
   const charge = quota === undefined
     ? undefined
-    : parts.permits.planAhead(quota, askedAt);
+    : parts.permits.planSpare(quota, requestedAt);
   const turn: EndTurn = {
     ...describeEnd(call, relay.count),
     whole: true,
@@ -221,10 +230,13 @@
     upstream,
     ...(charge === undefined ? {} : { charge }),
   };
-  const left = Math.max(1, call.findLeft(performance.now()));
-  const ended = await parts.client.call("turns.end", turn, left);
+  const remaining = Math.max(
+    1,
+    call.findRemainingMilliseconds(performance.now()),
+  );
+  const ended = await parts.client.call("turns.end", turn, remaining);
   if (ended.err) {
-    call.noteFailure(ended.val);
+    call.recordFailure(ended.val);
     parts.logger.warn("Turn not kept", {
       call: facts.callId,
       program: facts.programId,
@@ -234,14 +246,14 @@
     return call.breakOff();
   }
   const { permits: count = 0 } = ended.val;
-  if (quota !== undefined) parts.permits.keep(quota, { count, askedAt });
+  if (quota !== undefined) parts.permits.add(quota, { count, requestedAt });
   const { turnId, previousId, programId } = turn;
   const input = Buffer.from(body);
   parts.cache.put({ turnId, previousId, input, output, upstream }, programId);
   call.endAnswer();
 }
 
-/** Settles a turn that is not kept, without anyone waiting for it. */
+/** Settles the tokens of a turn that is not stored, in the background. */
 function settleTurn(
   call: OpenCall,
   parts: TurnParts,
@@ -254,9 +266,9 @@
     output: Buffer.alloc(0),
     upstream: details.upstream ?? "",
   };
-  void parts.client.call("turns.end", turn, SETTLE_MILLISECONDS).then(
+  void parts.client.call("turns.end", turn, SETTLE_TIMEOUT_MILLISECONDS).then(
     (settled) => {
-      // What is never settled stays reserved, which keeps the budget safe.
+      // Unsettled tokens stay reserved, so the budget is never exceeded.
       if (settled.ok) return;
       parts.logger.warn("Turn not settled", {
         call: turn.turnId,
@@ -274,10 +286,10 @@
   "turnId" | "programId" | "previousId" | "tokens" | "retentionMilliseconds"
 > {
   const { route, table, service } = call.parts;
-  const each = table.findService(service)?.tokensPerEvent ?? 1;
+  const tokensPerEvent = table.findService(service)?.tokensPerEvent ?? 1;
   return {
     ...findTurnIds(call),
-    tokens: events * each,
+    tokens: events * tokensPerEvent,
     retentionMilliseconds: route.retentionMilliseconds,
   };
 }
--- a/packages/gateway/src/calls/send_call.ts
+++ b/packages/gateway/src/calls/send_call.ts
@@ -1,4 +1,4 @@
-/** Sends a call to one upstream after the other until one answers it. */
+/** Sends a call to one upstream after another until one answers it. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -10,48 +10,52 @@
 } from "@mallowlift/core";
 import { isRepeatable, isResumable } from "../routing/repeatable.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import type { CallFailure, CallParts } from "./call_parts.ts";
-import { isServerFailure } from "./judge_answer.ts";
+import type { CallDependencies, CallFailure } from "./call_parts.ts";
+import { isServerError } from "./judge_answer.ts";
 import type { OpenCall } from "./open_call.ts";
-import type { AttemptEnd } from "./run_attempt.ts";
+import type { AttemptResult } from "./run_attempt.ts";
 import { runAttemptAt, type SendOptions } from "./run_attempt_at.ts";
 
-/** Pause before upstreams that are all full are asked again, ms. */
-const FULL_PAUSE_MILLISECONDS = 25;
+/** Delay before a retry when no upstream can be chosen, ms. */
+const ALL_FULL_DELAY_MILLISECONDS = 25;
 /**
- * Part of a call's time in which it is offered to full upstreams; the rest is
- * left for running it, or for the caller to come back.
+ * Fraction of a call's time during which it is offered to full upstreams; the
+ * rest is left for running it or for the caller's own retry.
  */
-const OFFER_PART = 0.5;
-/** Attempts that did not run and are made again, besides those that may have run. */
-const MAX_REFUSED_SENDS = 4;
+const OFFER_FRACTION = 0.5;
+/**
+ * Attempts that did not run and are retried in any case; further ones only while
+ * the call is still offered to full upstreams.
+ */
+const MAX_REFUSED_ATTEMPTS = 4;
 const UPSTREAM_FAILED: CodedError = {
   code: RESULT_CODES.OUTCOME_UNKNOWN,
-  message: "The upstream answered that it failed",
+  message: "The upstream answered with a server error",
 };
 
-/** An answer, or why there is none. */
-export type SendEnd =
+/** The answer of a call and its upstream, or why there is none. */
+export type SendResult =
   | {
-    readonly answer: AttemptEnd & { kind: "whole" };
+    readonly answer: AttemptResult & { kind: "whole" };
     readonly upstream: string;
   }
   | { readonly failure: CallFailure };
 
-/** Runs a call at an upstream; see {@linkcode SendEnd}. */
+/** Runs a call at the first upstream that answers it. */
 export async function sendCall(
   call: OpenCall,
-  parts: CallParts,
+  parts: CallDependencies,
   options: SendOptions,
-): Promise<SendEnd> {
+): Promise<SendResult> {
   const { route, arrivedAt } = call.parts;
   const mayRepeat = isRepeatable(route);
   const tried = new Set<string>();
-  const offeredUntil = arrivedAt + OFFER_PART * (call.deadlineAt - arrivedAt);
-  let runs = 0;
+  const offeredUntil = arrivedAt +
+    OFFER_FRACTION * (call.deadlineAt - arrivedAt);
+  let possibleRuns = 0;
   let refusals = 0;
-  let failed: SendEnd | undefined;
-  let last: CodedError = {
+  let failedAnswer: SendResult | undefined;
+  let lastError: CodedError = {
     code: RESULT_CODES.NO_UPSTREAM,
     message: RESULT_CODES.NO_UPSTREAM.meaning,
   };
@@ -59,84 +63,88 @@
     const now = performance.now();
     const upstream = chooseUpstream(call, parts, { options, tried, now });
     if (upstream === undefined) {
-      if (now > offeredUntil || runs > 0) break;
-      // A refused upstream may be asked again once its rest is over.
+      if (now > offeredUntil || possibleRuns > 0) break;
+      // An upstream that refused may be tried again after its backoff.
       tried.clear();
-      await sleep(FULL_PAUSE_MILLISECONDS, call.signal);
+      await sleep(ALL_FULL_DELAY_MILLISECONDS, call.signal);
       continue;
     }
-    const obstacle = await parts.gate.pass(call);
-    if (obstacle !== undefined) {
-      last = obstacle;
+    const refusal = await parts.gate.admit(call);
+    if (refusal !== undefined) {
+      lastError = refusal;
       break;
     }
-    const isLast = !mayRepeat || runs + 1 >= route.maxAttempts;
-    const end = await runAttemptAt(upstream, call, {
+    const isLast = !mayRepeat || possibleRuns + 1 >= route.maxAttempts;
+    const result = await runAttemptAt(upstream, call, {
       parts,
       options,
-      // The gate may have waited for the leader.
+      // The send gate may have waited for the leader.
       now: performance.now(),
       isLast,
     });
     call.story.upstream = upstream.instance.id;
-    if (end.kind !== "not_run") call.usePermit();
-    if (end.kind === "whole" && isAnswer(end, call)) {
-      const sent = { answer: end, upstream: upstream.instance.id };
-      if (isLast || !isFailure(end, call)) return sent;
-      // The caller gets this one after all if no other upstream answers.
-      failed = sent;
+    if (result.kind !== "not_run") call.consumePermit();
+    if (result.kind === "whole" && isDeliverable(result, call)) {
+      const sentAnswer = { answer: result, upstream: upstream.instance.id };
+      if (isLast || !isRetryableFailure(result, call)) return sentAnswer;
+      // The caller gets this answer if no other upstream gives a better one.
+      failedAnswer = sentAnswer;
     }
-    last = end.kind === "whole" ? UPSTREAM_FAILED : end.error;
-    noteFailedAttempt(call, parts, { kind: end.kind, error: last, upstream });
-    countRetry(parts.metrics, "gateway", last.code);
+    lastError = result.kind === "whole" ? UPSTREAM_FAILED : result.error;
+    logFailedAttempt(call, parts, {
+      kind: result.kind,
+      error: lastError,
+      upstream,
+    });
+    countRetry(parts.metrics, "gateway", lastError.code);
     tried.add(upstream.instance.id);
-    if (end.kind === "not_run") {
-      if (++refusals > MAX_REFUSED_SENDS && now > offeredUntil) break;
+    if (result.kind === "not_run") {
+      if (++refusals > MAX_REFUSED_ATTEMPTS && now > offeredUntil) break;
       continue;
     }
-    runs++;
-    if (!mayRepeat || runs >= route.maxAttempts) break;
-    // What the caller has seen of an answer cannot be taken back.
-    if (call.hasAnswered && !mayResume(call, options)) break;
+    possibleRuns++;
+    if (!mayRepeat || possibleRuns >= route.maxAttempts) break;
+    // An answer that the caller has partly received can only be resumed.
+    if (call.hasStartedAnswer && !canResume(call, options)) break;
   }
-  if (failed !== undefined && !call.hasLeft) return failed;
-  if (call.signal.aborted) last = describeAbort(call, runs);
-  return { failure: { error: last, notRun: runs === 0 } };
+  if (failedAnswer !== undefined && !call.hasCallerLeft) return failedAnswer;
+  if (call.signal.aborted) lastError = describeAbort(call, possibleRuns);
+  return { failure: { error: lastError, notRun: possibleRuns === 0 } };
 }
 
-/** True unless the caller has seen the beginning of another answer. */
-function isAnswer(
-  answer: AttemptEnd & { kind: "whole" },
+/** True unless the caller has received the beginning of another answer. */
+function isDeliverable(
+  answer: AttemptResult & { kind: "whole" },
   call: OpenCall,
 ): boolean {
-  return answer.streamed || !call.hasAnswered;
+  return answer.streamed || !call.hasStartedAnswer;
 }
 
-/** True if an upstream answered that it failed, and another may be asked. */
-function isFailure(
-  answer: AttemptEnd & { kind: "whole" },
+/** True for a server error while the caller has received nothing. */
+function isRetryableFailure(
+  answer: AttemptResult & { kind: "whole" },
   call: OpenCall,
 ): boolean {
-  return isServerFailure(answer.head.status) && !call.hasAnswered;
+  return isServerError(answer.head.status) && !call.hasStartedAnswer;
 }
 
-/** True if a stream that has begun can go on after its last event. */
-function mayResume(call: OpenCall, options: SendOptions): boolean {
-  return isResumable(call.parts.route) && options.events?.canGoOn === true;
+/** True if a started stream can resume at another upstream. */
+function canResume(call: OpenCall, options: SendOptions): boolean {
+  return isResumable(call.parts.route) && options.events?.canResume === true;
 }
 
-/** One line for each attempt that brought no answer, with what it went by. */
-function noteFailedAttempt(
+/** Logs an attempt without a usable answer and the state that it was based on. */
+function logFailedAttempt(
   call: OpenCall,
-  parts: CallParts,
+  parts: CallDependencies,
   details: {
-    readonly kind: AttemptEnd["kind"];
+    readonly kind: AttemptResult["kind"];
     readonly error: CodedError;
     readonly upstream: Upstream;
   },
 ): void {
   const { kind, error, upstream } = details;
-  if (call.hasLeft) return;
+  if (call.hasCallerLeft) return;
   const now = performance.now();
   parts.logger.info("Attempt failed", {
     call: call.parts.facts.callId,
@@ -148,14 +156,14 @@
     send: call.story.sends,
     running: upstream.running,
     list_age_ms: Math.round(parts.findListAge(now)),
-    left_ms: Math.round(call.findLeft(now)),
+    left_ms: Math.round(call.findRemainingMilliseconds(now)),
   });
 }
 
-function describeAbort(call: OpenCall, runs: number): CodedError {
-  const code: ResultCode = call.hasLeft
+function describeAbort(call: OpenCall, possibleRuns: number): CodedError {
+  const code: ResultCode = call.hasCallerLeft
     ? RESULT_CODES.CALLER_LEFT
-    : runs > 0
+    : possibleRuns > 0
     ? RESULT_CODES.CALL_TIMEOUT
     : RESULT_CODES.NO_UPSTREAM;
   return { code, message: code.meaning };
@@ -163,7 +171,7 @@
 
 function chooseUpstream(
   call: OpenCall,
-  parts: CallParts,
+  parts: CallDependencies,
   details: {
     readonly options: SendOptions;
     readonly tried: ReadonlySet<string>;
--- a/packages/gateway/src/calls/send_gate.ts
+++ b/packages/gateway/src/calls/send_gate.ts
@@ -1,4 +1,4 @@
-/** What a call needs besides an upstream before it may be sent. */
+/** Checks the key and the permit of a call before each send. */
 
 import { performance } from "node:perf_hooks";
 import { type CodedError, RESULT_CODES } from "@mallowlift/core";
@@ -11,10 +11,10 @@
 import type { KeyAdmission } from "../workspaces/key_admission.ts";
 import type { OpenCall } from "./open_call.ts";
 
-/** Part of a call's time that may be spent on waiting for a permit. */
-const WAIT_PART = 0.5;
+/** Fraction of a call's remaining time to wait for a permit at most. */
+const PERMIT_WAIT_FRACTION = 0.5;
 
-/** What the gate asks. */
+/** Options of a {@linkcode SendGate}. */
 export interface SendGateOptions {
   readonly admission: KeyAdmission;
   readonly permits: PermitPool;
@@ -24,9 +24,9 @@
 }
 
 /**
- * Lets a call through that has a confirmed key and an unused permit. Both are
- * looked at again right before the request is written, since the process may
- * have stood still in between.
+ * Admits calls that have a confirmed key and an unused permit. Both are checked
+ * again right before the request is written, because the process may have been
+ * suspended in between.
  */
 export class SendGate {
   readonly #options: SendGateOptions;
@@ -35,7 +35,7 @@
     this.#options = options;
   }
 
-  /** The quota that a call is charged to; undefined if there is none. */
+  /** The quota that the call is charged to; undefined if there is none. */
   findQuota(call: OpenCall): WorkspaceQuota | undefined {
     const { workspace, table } = call.parts;
     if (workspace === undefined) return undefined;
@@ -43,18 +43,22 @@
     return findQuota(workspace, { version, terms: this.#options.terms });
   }
 
-  /** Notes that a call's next send was charged when that was asked for. */
-  givePermit(call: OpenCall, askedAt: number): void {
+  /** Stores a permit for the call's next send; its lifetime began when it was requested. */
+  grantPermit(call: OpenCall, requestedAt: number): void {
     const quota = this.findQuota(call);
     if (quota !== undefined) {
-      call.givePermit(askedAt + quota.permitMilliseconds);
+      call.grantPermit(requestedAt + quota.permitLifetimeMilliseconds);
     }
   }
 
-  /** Waits for what is missing; returns why the call may not be sent, if so. */
-  async pass(call: OpenCall): Promise<CodedError | undefined> {
+  /**
+   * Waits for a confirmed key and a permit.
+   *
+   * @returns why the call may not be sent; undefined if it may
+   */
+  async admit(call: OpenCall): Promise<CodedError | undefined> {
     const { admission, permits, waitMilliseconds } = this.#options;
-    if (this.findObstacle(call, performance.now()) === undefined) {
+    if (this.findRefusal(call, performance.now()) === undefined) {
       return undefined;
     }
     const confirmed = await admission.confirm(call.parts);
@@ -62,25 +66,25 @@
     const quota = this.findQuota(call);
     const now = performance.now();
     if (quota === undefined || call.hasPermit(now)) return undefined;
-    const left = WAIT_PART * call.findLeft(now);
-    const limitMilliseconds = Math.min(waitMilliseconds, left);
+    const maxWait = PERMIT_WAIT_FRACTION * call.findRemainingMilliseconds(now);
+    const limitMilliseconds = Math.min(waitMilliseconds, maxWait);
     const taken = await permits.take(quota, { now, limitMilliseconds });
     if (taken.err) return taken.val;
-    call.givePermit(taken.val);
+    call.grantPermit(taken.val);
     return undefined;
   }
 
   /** Why the call may not be sent right now; undefined if it may. */
-  findObstacle(call: OpenCall, now: number): CodedError | undefined {
+  findRefusal(call: OpenCall, now: number): CodedError | undefined {
     if (!this.#options.admission.isValid(call.parts, now)) {
-      return describe(RESULT_CODES.CONFIGURATION_STALE);
+      return createError(RESULT_CODES.CONFIGURATION_STALE);
     }
     const isCharged = this.findQuota(call) !== undefined;
     if (!isCharged || call.hasPermit(now)) return undefined;
-    return describe(RESULT_CODES.NO_QUORUM);
+    return createError(RESULT_CODES.NO_QUORUM);
   }
 }
 
-function describe(code: CodedError["code"]): CodedError {
+function createError(code: CodedError["code"]): CodedError {
   return { code, message: code.meaning };
 }
--- a/packages/gateway/src/calls/turn_cache.ts
+++ b/packages/gateway/src/calls/turn_cache.ts
@@ -1,13 +1,13 @@
-/** Turns that this gateway has seen lately, so that they need not be fetched. */
+/** Caches recent turns, so that their contents need not be fetched from the stores. */
 
 import { Buffer } from "node:buffer";
 import type { KeptTurn } from "@mallowlift/core";
 
-/** What a turn costs besides its bytes, about. */
+/** Approximate memory of a turn in addition to its input and output, bytes. */
 const TURN_OVERHEAD_BYTES = 400;
 
-/** Newest turns of a program that are named as known: some lines side by side. */
-const KNOWN_TURNS = 8;
+/** Maximum of a program's turns reported as known: enough for some parallel chains. */
+const MAX_KNOWN_TURNS = 8;
 
 interface CachedTurn {
   readonly turn: KeptTurn;
@@ -15,7 +15,7 @@
 }
 
 /**
- * Keeps the turns that were used last.
+ * A cache of turns with a size limit and least-recently-used eviction.
  *
  * @example
  * ```ts
@@ -27,7 +27,7 @@
 export class TurnCache {
   readonly #maxBytes: number;
   readonly #turns = new Map<string, CachedTurn>();
-  /** Turns of each program, in the order they came. */
+  /** Ids of each program's turns, in order of insertion. */
   readonly #byProgram = new Map<string, Set<string>>();
   #bytes = 0;
 
@@ -35,31 +35,31 @@
     this.#maxBytes = maxBytes;
   }
 
-  /** Takes a turn in, and lets the least recently used go. */
+  /** Adds a turn and evicts the least recently used ones above the size limit. */
   put(turn: KeptTurn, programId: string): void {
     if (this.#turns.has(turn.turnId)) return;
     this.#turns.set(turn.turnId, { turn, programId });
-    const ofProgram = this.#byProgram.get(programId);
-    if (ofProgram === undefined) {
+    const programTurns = this.#byProgram.get(programId);
+    if (programTurns === undefined) {
       this.#byProgram.set(programId, new Set([turn.turnId]));
-    } else ofProgram.add(turn.turnId);
-    this.#bytes += measure(turn);
+    } else programTurns.add(turn.turnId);
+    this.#bytes += measureBytes(turn);
     for (const [turnId, oldest] of this.#turns) {
       if (this.#bytes <= this.#maxBytes) return;
-      this.#drop(turnId, oldest);
+      this.#evict(turnId, oldest);
     }
   }
 
-  /** The newest turns of a program that are here with all before them. */
-  listWhole(programId: string): readonly string[] {
-    const ofProgram = [...this.#byProgram.get(programId) ?? []];
-    return ofProgram.slice(-KNOWN_TURNS).filter((turnId) =>
-      this.findMissing(turnId) === ""
+  /** Ids of the program's newest turns whose whole chain is cached. */
+  listCompleteTurnIds(programId: string): readonly string[] {
+    const programTurns = [...this.#byProgram.get(programId) ?? []];
+    return programTurns.slice(-MAX_KNOWN_TURNS).filter((turnId) =>
+      this.findMissingTurnId(turnId) === ""
     );
   }
 
-  /** The first turn, seen backwards, that is missing; empty if none is. */
-  findMissing(turnId: string): string {
+  /** Id of the latest turn of a chain that is not cached; empty if all are. */
+  findMissingTurnId(turnId: string): string {
     let missing = turnId;
     while (missing !== "") {
       const cached = this.#turns.get(missing);
@@ -69,7 +69,7 @@
     return "";
   }
 
-  /** A turn and all before it, oldest first; undefined if one is missing. */
+  /** A turn and all turns before it, oldest first; undefined if one is missing. */
   listChain(turnId: string): readonly KeptTurn[] | undefined {
     const chain: KeptTurn[] = [];
     let next = turnId;
@@ -84,12 +84,12 @@
     return chain.reverse();
   }
 
-  #drop(turnId: string, cached: CachedTurn): void {
+  #evict(turnId: string, cached: CachedTurn): void {
     this.#turns.delete(turnId);
-    this.#bytes -= measure(cached.turn);
-    const ofProgram = this.#byProgram.get(cached.programId);
-    ofProgram?.delete(turnId);
-    if (ofProgram?.size === 0) this.#byProgram.delete(cached.programId);
+    this.#bytes -= measureBytes(cached.turn);
+    const programTurns = this.#byProgram.get(cached.programId);
+    programTurns?.delete(turnId);
+    if (programTurns?.size === 0) this.#byProgram.delete(cached.programId);
   }
 }
 
@@ -104,6 +104,6 @@
   return Buffer.concat(parts);
 }
 
-function measure(turn: KeptTurn): number {
+function measureBytes(turn: KeptTurn): number {
   return turn.input.length + turn.output.length + TURN_OVERHEAD_BYTES;
 }
--- a/packages/gateway/src/calls/turn_cache_test.ts
+++ b/packages/gateway/src/calls/turn_cache_test.ts
@@ -16,17 +16,17 @@
   };
 }
 
-test("only turns with all before them are told as known", (t) => {
+test("only turns whose whole chain is cached are listed as known", (t) => {
   const cache = new TurnCache(100 * SIZE);
   cache.put(createTurn("a"), "p");
   cache.put(createTurn("b", "a"), "p");
   cache.put(createTurn("d", "c"), "p");
   cache.put(createTurn("e"), "q");
-  t.same(cache.listWhole("p"), ["a", "b"]);
-  t.same(cache.listWhole("q"), ["e"]);
-  t.same(cache.listWhole("r"), []);
+  t.same(cache.listCompleteTurnIds("p"), ["a", "b"]);
+  t.same(cache.listCompleteTurnIds("q"), ["e"]);
+  t.same(cache.listCompleteTurnIds("r"), []);
   cache.put(createTurn("c", "b"), "p");
-  t.same(cache.listWhole("p"), ["a", "b", "d", "c"]);
+  t.same(cache.listCompleteTurnIds("p"), ["a", "b", "d", "c"]);
   t.same(cache.listChain("d")?.map((turn) => turn.turnId), [
     "a",
     "b",
@@ -36,26 +36,26 @@
   t.end();
 });
 
-test("the newest few turns of a program are told", (t) => {
+test("only the newest turns of a program are listed", (t) => {
   const cache = new TurnCache(100 * SIZE);
   cache.put(createTurn("0"), "p");
   for (let number = 1; number < 20; number++) {
     cache.put(createTurn(`${number}`, `${number - 1}`), "p");
   }
-  const known = cache.listWhole("p");
+  const known = cache.listCompleteTurnIds("p");
   t.equal(known.length, 8);
   t.equal(known.at(-1), "19");
   t.end();
 });
 
-test("a turn that was dropped is not told, and its program is forgotten", (t) => {
+test("an evicted turn is not listed, and a program without turns is removed", (t) => {
   const cache = new TurnCache(3 * SIZE);
   cache.put(createTurn("a"), "p");
   cache.put(createTurn("b", "a"), "p");
   cache.put(createTurn("c"), "q");
-  t.equal(cache.findMissing("b"), "a");
-  t.same(cache.listWhole("p"), []);
+  t.equal(cache.findMissingTurnId("b"), "a");
+  t.same(cache.listCompleteTurnIds("p"), []);
   t.equal(cache.listChain("b"), undefined);
-  t.same(cache.listWhole("q"), ["c"]);
+  t.same(cache.listCompleteTurnIds("q"), ["c"]);
   t.end();
 });
--- a/packages/gateway/src/quotas/permit_pool.ts
+++ b/packages/gateway/src/quotas/permit_pool.ts
@@ -1,6 +1,7 @@
 /**
- * Permits of this gateway to send requests under the quotas of workspaces.
- * Requests that come while the leader is asked are asked for together next.
+ * Obtains permits from the leader to send requests under the quotas of
+ * workspaces. Requests that arrive while a message to the leader is in flight
+ * are batched into the next one.
  */
 
 import {
@@ -20,31 +21,31 @@
 import type { WorkspaceQuota } from "./quota_bound.ts";
 import type { SparePolicy } from "./spare_policy.ts";
 
-/** Longest wait for one answer of the leader before it is asked anew, ms. */
-const ASK_MILLISECONDS = 400;
-/** Pause after an answer that was none, ms: some round trips. */
-const RETRY_MILLISECONDS = 30;
-/** Callers are to come back after about the time of an election. */
+/** Timeout of one message to the leader, after which it is retried, ms. */
+const REQUEST_TIMEOUT_MILLISECONDS = 400;
+/** Delay before a retry after a failed message, ms: some round trips. */
+const RETRY_DELAY_MILLISECONDS = 30;
+/** The retry delay is about the time of an election. */
 const NO_LEADER: CodedError = {
   code: RESULT_CODES.NO_QUORUM,
   message: RESULT_CODES.NO_QUORUM.meaning,
   retryAfterMilliseconds: 800,
 };
-const NOTHING: QuotaGrant = { granted: 0, retryAfterMilliseconds: 0 };
-/** Part of the pause before a refused caller should return by which it varies. */
-const PAUSE_SPREAD = 0.5;
+const NO_GRANT: QuotaGrant = { granted: 0, retryAfterMilliseconds: 0 };
+/** Largest random extension of a retry delay, as a fraction of it. */
+const RETRY_JITTER_FRACTION = 0.5;
 
-/** What the pool works with. */
+/** Options of a {@linkcode PermitPool}. */
 export interface PermitPoolOptions {
-  /** Name of this start of the gateway. */
+  /** Unique name of this gateway process; prefixes the ids of its messages. */
   readonly name: string;
   readonly client: Pick<SiteClient, "call">;
   readonly policy: SparePolicy;
   /** The local clock, ms. */
   readonly clock: () => number;
-  /** Resolves after a time of that clock, ms. */
+  /** Resolves after a duration by that clock, ms. */
   readonly wait: (milliseconds: number) => Promise<void>;
-  /** Returns a number from 0 up to 1. */
+  /** Returns a number from 0 up to but not including 1. */
   readonly random: () => number;
   readonly metrics: Metrics;
 }
@@ -60,13 +61,13 @@
   readonly done: Deferred<Outcome<number>>;
 }
 
-/** Takes permits from the leader as requests need them. */
+/** Hands out permits to requests and obtains them from the leader. */
 export class PermitPool {
   readonly #options: PermitPoolOptions;
   readonly #spares = new Map<string, SparePermits[]>();
   #waiting: Waiter[] = [];
-  #isAsking = false;
-  #asked = 0;
+  #isRequesting = false;
+  #requestCount = 0;
 
   constructor(options: PermitPoolOptions) {
     this.#options = options;
@@ -75,42 +76,45 @@
   /**
    * Takes a permit for one request.
    *
-   * @returns until when it may be used, by the local clock
+   * @returns until when the permit is valid, by the local clock, ms
    */
   async take(
     quota: WorkspaceQuota,
     times: { readonly now: number; readonly limitMilliseconds: number },
   ): Promise<Outcome<number>> {
     const { now, limitMilliseconds } = times;
-    this.#options.policy.note(quota, now);
+    this.#options.policy.recordRequest(quota, now);
     const spare = this.#takeSpare(quota.bound.workspace, now);
     if (spare !== undefined) return Ok(spare);
     const done = createDeferred<Outcome<number>>();
     this.#waiting.push({ quota, until: now + limitMilliseconds, done });
-    if (!this.#isAsking) void this.#ask();
+    if (!this.#isRequesting) void this.#drainQueue();
     return await done.promise;
   }
 
   /**
-   * What to ask for with another message to the leader, so that the requests
-   * that follow need none of their own; undefined if enough are here.
+   * Spare permits to request with another message to the leader, so that the
+   * next requests need no message of their own; undefined if the pool has enough.
    */
-  planAhead(quota: WorkspaceQuota, now: number): QuotaCharge | undefined {
+  planSpare(quota: WorkspaceQuota, now: number): QuotaCharge | undefined {
     const wanted = this.#options.policy.findSpare(quota, now);
     const spare = wanted - this.#countSpare(quota.bound.workspace, now);
     return spare > 0 ? { ...quota.bound, needed: 0, spare } : undefined;
   }
 
-  /** Keeps permits that were given for later requests. */
-  keep(
+  /** Adds spare permits for later requests. */
+  add(
     quota: WorkspaceQuota,
-    details: { readonly count: number; readonly askedAt: number },
+    details: { readonly count: number; readonly requestedAt: number },
   ): void {
-    const { count, askedAt } = details;
+    const { count, requestedAt } = details;
     if (count === 0) return;
     const { workspace } = quota.bound;
     const spares = this.#spares.get(workspace) ?? [];
-    spares.push({ validUntil: askedAt + quota.permitMilliseconds, count });
+    spares.push({
+      validUntil: requestedAt + quota.permitLifetimeMilliseconds,
+      count,
+    });
     this.#spares.set(workspace, spares);
   }
 
@@ -137,33 +141,33 @@
     return undefined;
   }
 
-  async #ask(): Promise<void> {
-    this.#isAsking = true;
+  async #drainQueue(): Promise<void> {
+    this.#isRequesting = true;
     while (this.#waiting.length > 0) {
       const waiters = this.#waiting;
       this.#waiting = [];
-      await this.#askFor(groupByWorkspace(waiters));
+      await this.#requestPermits(groupByWorkspace(waiters));
     }
-    this.#isAsking = false;
+    this.#isRequesting = false;
   }
 
-  async #askFor(groups: readonly (readonly Waiter[])[]): Promise<void> {
+  async #requestPermits(groups: readonly (readonly Waiter[])[]): Promise<void> {
     const { client, name, clock } = this.#options;
-    const askedAt = clock();
+    const requestedAt = clock();
     const reply = await client.call("quota.take", {
-      id: `${name} ${++this.#asked}`,
-      charges: groups.map((group) => this.#describeCharge(group, askedAt)),
-    }, ASK_MILLISECONDS);
-    if (reply.err) return await this.#waitOn(groups.flat(), reply.val);
+      id: `${name} ${++this.#requestCount}`,
+      charges: groups.map((group) => this.#describeCharge(group, requestedAt)),
+    }, REQUEST_TIMEOUT_MILLISECONDS);
+    if (reply.err) return await this.#handleFailure(groups.flat(), reply.val);
     for (const [index, group] of groups.entries()) {
-      const grant = reply.val.grants[index] ?? NOTHING;
-      this.#distribute(group, grant, askedAt);
+      const grant = reply.val.grants[index] ?? NO_GRANT;
+      this.#distribute(group, grant, requestedAt);
     }
   }
 
   #describeCharge(group: readonly Waiter[], now: number): QuotaCharge {
     const [first] = group;
-    if (first === undefined) throw new Error("A group has a waiter at least");
+    if (first === undefined) throw new Error("The group has no waiter");
     const { quota } = first;
     return {
       ...quota.bound,
@@ -172,44 +176,48 @@
     };
   }
 
-  /** Those with time left are asked for again, unless the leader has refused. */
-  async #waitOn(
+  /** Retries for waiters that have time left, unless the leader has refused. */
+  async #handleFailure(
     waiters: readonly Waiter[],
     error: CodedError,
   ): Promise<void> {
     const isRefused = error.code === RESULT_CODES.LEADER_BUSY;
     const now = this.#options.clock();
     for (const waiter of waiters) {
-      if (isRefused) waiter.done.resolve(this.#refuseFor(error));
+      if (isRefused) waiter.done.resolve(this.#refuseWith(error));
       else if (waiter.until > now) this.#waiting.push(waiter);
-      else waiter.done.resolve(this.#refuseFor(NO_LEADER));
+      else waiter.done.resolve(this.#refuseWith(NO_LEADER));
     }
-    if (!isRefused) await this.#options.wait(RETRY_MILLISECONDS);
+    if (!isRefused) await this.#options.wait(RETRY_DELAY_MILLISECONDS);
   }
 
   #distribute(
     group: readonly Waiter[],
     grant: QuotaGrant,
-    askedAt: number,
+    requestedAt: number,
   ): void {
-    let left = grant.granted;
+    let remaining = grant.granted;
     for (const { quota, done } of group) {
-      const validUntil = askedAt + quota.permitMilliseconds;
-      if (left > 0) done.resolve(Ok(validUntil));
-      else done.resolve(this.refuse(grant.retryAfterMilliseconds));
-      left--;
+      const validUntil = requestedAt + quota.permitLifetimeMilliseconds;
+      if (remaining > 0) done.resolve(Ok(validUntil));
+      else done.resolve(this.refuseForQuota(grant.retryAfterMilliseconds));
+      remaining--;
     }
     const [first] = group;
-    if (left > 0 && first !== undefined) {
-      this.keep(first.quota, { count: left, askedAt });
+    if (remaining > 0 && first !== undefined) {
+      this.add(first.quota, { count: remaining, requestedAt });
     }
   }
 
-  /** Callers come back spread over a while, or they would all ask at once. */
-  refuse(retryAfterMilliseconds: number): ReturnType<typeof fail> {
+  /**
+   * Refuses a request that exceeds its quota. The retry delay is extended at
+   * random, so that callers do not all retry at once.
+   */
+  refuseForQuota(retryAfterMilliseconds: number): ReturnType<typeof fail> {
     const { random, metrics } = this.#options;
     countRefusal(metrics, "quotas", RESULT_CODES.QUOTA_EXCEEDED);
-    const pause = retryAfterMilliseconds * (1 + PAUSE_SPREAD * random());
+    const pause = retryAfterMilliseconds *
+      (1 + RETRY_JITTER_FRACTION * random());
     return fail(
       RESULT_CODES.QUOTA_EXCEEDED,
       RESULT_CODES.QUOTA_EXCEEDED.meaning,
@@ -217,7 +225,7 @@
     );
   }
 
-  #refuseFor(error: CodedError): ReturnType<typeof fail> {
+  #refuseWith(error: CodedError): ReturnType<typeof fail> {
     const { code, message, retryAfterMilliseconds } = error;
     countRefusal(this.#options.metrics, "quotas", code);
     return fail(code, message, retryAfterMilliseconds);
--- a/packages/gateway/src/quotas/permit_pool_test.ts
+++ b/packages/gateway/src/quotas/permit_pool_test.ts
@@ -19,7 +19,7 @@
     { name, keyDigests: [], ratePerSecond: 10, burst: 10 },
     { version: 1, terms: { windowSeconds: 5, overage: 0, slack: 0 } },
   );
-  if (quota === undefined) throw new Error("The workspace has a quota");
+  if (quota === undefined) throw new Error("The workspace has no quota");
   return quota;
 }
 
@@ -27,7 +27,7 @@
 const SOUTH = createQuota("south");
 const TIMES = { now: 0, limitMilliseconds: 60_000 };
 
-/** A pool whose leader answers by a function. */
+/** Creates a pool whose leader is replaced by a function. */
 function createPool(
   answer: (request: TakePermits) => Promise<Outcome<PermitsTaken>>,
   policy: SparePolicy = new NoSpare(),
@@ -49,8 +49,8 @@
   return { pool, asked };
 }
 
-/** Gives all that is asked for. */
-function giveAll({ charges }: TakePermits): Promise<Outcome<PermitsTaken>> {
+/** Grants all permits that are requested. */
+function grantAll({ charges }: TakePermits): Promise<Outcome<PermitsTaken>> {
   const grants = charges.map(({ needed, spare }) => ({
     granted: needed + spare,
     retryAfterMilliseconds: 0,
@@ -58,11 +58,11 @@
   return Promise.resolve(Ok({ grants }));
 }
 
-test("requests that come while the leader is asked are asked for together", async (t) => {
-  const held = createDeferred<void>();
+test("requests that arrive while a message is in flight are batched", async (t) => {
+  const unblock = createDeferred<void>();
   const { pool, asked } = createPool(async (request) => {
-    if (request.charges.length === 1) await held.promise;
-    return await giveAll(request);
+    if (request.charges.length === 1) await unblock.promise;
+    return await grantAll(request);
   });
   const first = pool.take(NORTH, TIMES);
   const others = [
@@ -70,7 +70,7 @@
     pool.take(SOUTH, TIMES),
     pool.take(NORTH, TIMES),
   ];
-  held.resolve(undefined);
+  unblock.resolve(undefined);
   t.ok((await first).ok);
   for (const other of others) t.ok((await other).ok);
   t.same(
@@ -80,7 +80,7 @@
   t.not(asked[0]?.id, asked[1]?.id);
 });
 
-test("what is not granted is refused with the time to come back", async (t) => {
+test("a request without a permit is refused with the leader's retry delay", async (t) => {
   const { pool } = createPool(() =>
     Promise.resolve(Ok({
       grants: [{ granted: 0, retryAfterMilliseconds: 300 }],
@@ -91,53 +91,56 @@
   t.equal(refused.err && refused.val.retryAfterMilliseconds, 300);
 });
 
-test("a request outlasts a change of leaders, but not its own time", async (t) => {
-  let asks = 0;
+test("a request is retried during a change of leaders until its own timeout", async (t) => {
+  let attempts = 0;
   const { pool } = createPool((request) =>
-    ++asks < 3
+    ++attempts < 3
       ? Promise.resolve(fail(RESULT_CODES.NO_LEADER, "No leader"))
-      : giveAll(request)
+      : grantAll(request)
   );
   const now = performance.now();
   t.ok((await pool.take(NORTH, { now, limitMilliseconds: 60_000 })).ok);
-  asks = 0;
+  attempts = 0;
   const late = await pool.take(NORTH, { now, limitMilliseconds: 0 });
   t.equal(late.err && late.val.code, RESULT_CODES.NO_QUORUM);
   t.ok(late.err && late.val.code.notRun, "nothing has run");
 });
 
-// Guards against permits that are used after the span in which they count.
-test("permits ahead of need are used up, and only while they are valid", async (t) => {
-  const policy = { note: () => undefined, findSpare: () => 2 };
-  const { pool, asked } = createPool(giveAll, policy);
+// Guards against spare permits that are used after they have expired.
+test("spare permits are all used, but only while they are valid", async (t) => {
+  const policy = { recordRequest: () => undefined, findSpare: () => 2 };
+  const { pool, asked } = createPool(grantAll, policy);
   const now = performance.now();
   const take = (at: number) =>
     pool.take(NORTH, { now: at, limitMilliseconds: 1_000 });
   for (let count = 0; count < 3; count++) {
     const until = (await take(now)).unwrap();
-    t.ok(until > now && until <= performance.now() + NORTH.permitMilliseconds);
+    t.ok(
+      until > now &&
+        until <= performance.now() + NORTH.permitLifetimeMilliseconds,
+    );
   }
   t.equal(asked.length, 1);
   await take(now);
   t.equal(asked.length, 2);
   await take(now + 10_000);
-  t.equal(asked.length, 3, "the rest had expired");
+  t.equal(asked.length, 3, "the remaining permits have expired");
 });
 
-test("what is planned ahead is what is expected and not here yet", (t) => {
-  const policy = { note: () => undefined, findSpare: () => 3 };
-  const { pool } = createPool(giveAll, policy);
-  t.same(pool.planAhead(NORTH, 0), { ...NORTH.bound, needed: 0, spare: 3 });
-  pool.keep(NORTH, { count: 2, askedAt: 0 });
-  t.equal(pool.planAhead(NORTH, 0)?.spare, 1);
-  pool.keep(NORTH, { count: 1, askedAt: 0 });
-  t.equal(pool.planAhead(NORTH, 0), undefined);
-  t.equal(pool.planAhead(NORTH, 10_000)?.spare, 3, "the others have expired");
+test("the planned spare permits are those expected minus those in the pool", (t) => {
+  const policy = { recordRequest: () => undefined, findSpare: () => 3 };
+  const { pool } = createPool(grantAll, policy);
+  t.same(pool.planSpare(NORTH, 0), { ...NORTH.bound, needed: 0, spare: 3 });
+  pool.add(NORTH, { count: 2, requestedAt: 0 });
+  t.equal(pool.planSpare(NORTH, 0)?.spare, 1);
+  pool.add(NORTH, { count: 1, requestedAt: 0 });
+  t.equal(pool.planSpare(NORTH, 0), undefined);
+  t.equal(pool.planSpare(NORTH, 10_000)?.spare, 3, "the others have expired");
   t.end();
 });
 
-// Guards against a gateway that asks a leader which has too much to do again and again.
-test("what a busy leader refuses is refused at once, and not asked for again", async (t) => {
+// Guards against a gateway that keeps retrying while the leader is overloaded.
+test("a refusal by an overloaded leader is final and is not retried", async (t) => {
   const { pool, asked } = createPool(() =>
     Promise.resolve(fail(RESULT_CODES.LEADER_BUSY, "Busy", 700))
   );
--- a/packages/gateway/src/quotas/quota_bound.ts
+++ b/packages/gateway/src/quotas/quota_bound.ts
@@ -1,35 +1,38 @@
-/** The quota of a workspace as a bound on permits. */
+/** Converts the quota of a workspace into a bound on the permits that it gets. */
 
 import type { QuotaBound, Workspace } from "@mallowlift/core";
 
-/** Least and longest time for which a permit may be used, ms. */
-const PERMIT_MILLISECONDS = { least: 250, longest: 500 };
-/** Part of the slack that is left for what nobody has thought of. */
-const SLACK_MARGIN_PART = 0.5;
+/** Shortest and longest lifetime of a permit, ms. */
+const PERMIT_LIFETIME_MILLISECONDS = { min: 250, max: 500 };
+/** Fraction of the slack that is kept as a safety margin. */
+const SLACK_MARGIN_FRACTION = 0.5;
 
-/** How the requests of all workspaces are counted. */
+/** Quota terms that hold for all workspaces. */
 export interface QuotaTerms {
+  /** Length of the window in which requests are counted. */
   readonly windowSeconds: number;
-  /** Part of its quota by which a workspace may pass it within a window. */
+  /** Fraction of its quota by which a workspace may exceed it within a window. */
   readonly overage: number;
-  /** Requests by which it may pass it besides. */
+  /** Number of requests by which a workspace may exceed its quota in addition. */
   readonly slack: number;
 }
 
-/** A bound, and how long a permit under it may be used. */
+/** The bound of a workspace and the lifetime of its permits. */
 export interface WorkspaceQuota {
   readonly bound: QuotaBound;
-  /** From when the permit was asked for, ms. */
-  readonly permitMilliseconds: number;
+  /** Lifetime of a permit, counted from when it was requested, ms. */
+  readonly permitLifetimeMilliseconds: number;
 }
 
 /**
  * Finds the bound of a workspace; undefined if it has no quota.
  *
- * Requests are sent at most the time of a permit after they were counted, so
- * those sent within a window were counted within that much more: the bound
- * holds over the longer span. The longer it is, the sooner a steady load meets
- * the bound; a permit lasts for as long as a load at the rate never does.
+ * A request is sent at most one permit lifetime after it was counted. The bound
+ * therefore covers a span of the window plus one lifetime, so that it also holds
+ * for the requests sent within any window. A longer span makes a steady load
+ * reach the bound sooner, so the lifetime is as long as a load at exactly the
+ * rate still fits within the bound, within the limits of
+ * `PERMIT_LIFETIME_MILLISECONDS`.
  *
  * @example
  * ```ts
@@ -46,20 +49,20 @@
   if (ratePerSecond <= 0) return undefined;
   const { windowSeconds, overage, slack } = options.terms;
   const quota = ratePerSecond * windowSeconds + burst;
-  const allowed = quota * (1 + overage) + slack * (1 - SLACK_MARGIN_PART);
+  const allowed = quota * (1 + overage) + slack * (1 - SLACK_MARGIN_FRACTION);
   const most = Math.max(1, Math.floor(allowed));
-  const { least, longest } = PERMIT_MILLISECONDS;
+  const { min, max } = PERMIT_LIFETIME_MILLISECONDS;
   const coveredMilliseconds = 1_000 * (most / ratePerSecond - windowSeconds);
-  const permitMilliseconds = Math.round(
-    Math.min(longest, Math.max(least, coveredMilliseconds)),
+  const permitLifetimeMilliseconds = Math.round(
+    Math.min(max, Math.max(min, coveredMilliseconds)),
   );
   return {
-    permitMilliseconds,
+    permitLifetimeMilliseconds,
     bound: {
       workspace: name,
       version: options.version,
       most,
-      spanMilliseconds: windowSeconds * 1_000 + permitMilliseconds,
+      spanMilliseconds: windowSeconds * 1_000 + permitLifetimeMilliseconds,
     },
   };
 }
--- a/packages/gateway/src/quotas/quota_bound_test.ts
+++ b/packages/gateway/src/quotas/quota_bound_test.ts
@@ -15,7 +15,7 @@
   t.end();
 });
 
-test("a bound never allows more than the terms, and a steady load at the rate", (t) => {
+test("a bound never exceeds the terms and admits a steady load at the rate", (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 500 }),
@@ -28,7 +28,7 @@
         const allowed = (rate * 5 + burst) * 1.1 + 20;
         const steady = rate * spanMilliseconds / 1_000;
         return most < allowed && steady <= most + 1 &&
-          spanMilliseconds === 5_000 + quota.permitMilliseconds;
+          spanMilliseconds === 5_000 + quota.permitLifetimeMilliseconds;
       },
     ),
     { seed: SEED },
@@ -36,10 +36,10 @@
   t.end();
 });
 
-test("without slack and overage a permit still lasts for a while", (t) => {
+test("without slack and overage a permit has the shortest lifetime", (t) => {
   const terms = { windowSeconds: 5, overage: 0, slack: 0 };
   const quota = findQuota(createWorkspace(2, 0), { version: 1, terms });
   t.equal(quota?.bound.most, 10);
-  t.equal(quota?.permitMilliseconds, 250);
+  t.equal(quota?.permitLifetimeMilliseconds, 250);
   t.end();
 });
--- a/packages/gateway/src/quotas/spare_policy.ts
+++ b/packages/gateway/src/quotas/spare_policy.ts
@@ -1,55 +1,65 @@
-/** How many permits a gateway asks for ahead of the requests that need them. */
+/**
+ * Policies for spare permits, which a gateway obtains before the requests that
+ * will use them arrive.
+ */
 
 import type { WorkspaceQuota } from "./quota_bound.ts";
 
-/** Decides by the requests of each workspace that came through this gateway. */
+/**
+ * Decides how many spare permits to request, from the recent requests of each
+ * workspace at this gateway.
+ */
 export interface SparePolicy {
-  /** Notes a request. */
-  note(quota: WorkspaceQuota, now: number): void;
-  /** Permits to ask for besides those that are needed now. */
+  /** Records a request. */
+  recordRequest(quota: WorkspaceQuota, now: number): void;
+  /** Number of permits to request beyond those needed now. */
   findSpare(quota: WorkspaceQuota, now: number): number;
 }
 
-/** Each request is charged when it comes. */
+/** Requests no spare permits: each request is charged when it arrives. */
 export class NoSpare implements SparePolicy {
-  /** Notes nothing. */
-  note(): void {}
+  /** Does nothing. */
+  recordRequest(): void {}
 
-  /** None. */
+  /** Always 0. */
   findSpare(): number {
     return 0;
   }
 }
 
-/** Time over which demand is averaged, ms: some pauses between two turns. */
-const DEMAND_MILLISECONDS = 2_000;
+/** Time constant of the demand average, ms: some pauses between two turns. */
+const DEMAND_DECAY_MILLISECONDS = 2_000;
 
 interface Demand {
-  /** Requests, each of which counts less the older it is. */
+  /** Number of requests, decayed exponentially by their age. */
   weight: number;
+  /** Time of the last request, ms. */
   at: number;
 }
 
-/** As many as are expected to be used while they are valid. */
+/** Requests as many spare permits as are expected to be used while valid. */
 export class ExpectedSpare implements SparePolicy {
   readonly #demands = new Map<string, Demand>();
 
-  /** Counts a request. */
-  note(quota: WorkspaceQuota, now: number): void {
+  /** Adds a request to the demand of its workspace. */
+  recordRequest(quota: WorkspaceQuota, now: number): void {
     const { workspace } = quota.bound;
     const weight = this.#findWeight(workspace, now) + 1;
     this.#demands.set(workspace, { weight, at: now });
   }
 
-  /** The demand of the last while, for as long as a permit is valid. */
+  /** The recent demand, scaled to the lifetime of a permit. */
   findSpare(quota: WorkspaceQuota, now: number): number {
     const weight = this.#findWeight(quota.bound.workspace, now);
-    return Math.round(weight * quota.permitMilliseconds / DEMAND_MILLISECONDS);
+    return Math.round(
+      weight * quota.permitLifetimeMilliseconds / DEMAND_DECAY_MILLISECONDS,
+    );
   }
 
   #findWeight(workspace: string, now: number): number {
     const demand = this.#demands.get(workspace);
     if (demand === undefined) return 0;
-    return demand.weight * Math.exp((demand.at - now) / DEMAND_MILLISECONDS);
+    return demand.weight *
+      Math.exp((demand.at - now) / DEMAND_DECAY_MILLISECONDS);
   }
 }
--- a/packages/gateway/src/routing/repeatable.ts
+++ b/packages/gateway/src/routing/repeatable.ts
@@ -1,4 +1,4 @@
-/** What of a route may run at another upstream after one that may have run it. */
+/** Decides which routes may be retried after an upstream may have run a call. */
 
 import { type Route, ROUTE_KINDS } from "@mallowlift/core";
 
@@ -7,7 +7,7 @@
   return route.kind === ROUTE_KINDS.IDEMPOTENT || isResumable(route);
 }
 
-/** True if a stream of the route may go on at another upstream. */
+/** True if a stream of the route may resume at another upstream. */
 export function isResumable(route: Route): boolean {
   return route.kind === ROUTE_KINDS.STREAM && route.isResumable === true;
 }
--- a/packages/gateway/src/routing/route_table.ts
+++ b/packages/gateway/src/routing/route_table.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request in the document that is in force. */
+/** Finds the route, service and workspace of a request in a routing document. */
 
 import type {
   Route,
@@ -7,7 +7,7 @@
   Workspace,
 } from "@mallowlift/core";
 
-/** A document prepared for look-ups. */
+/** A routing document indexed for lookups. */
 export class RouteTable {
   readonly document: RoutingDocument;
   readonly #byHost = new Map<string, Route[]>();
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** The route of the host with the longest prefix of the path. */
   find(host: string, path: string): Route | undefined {
     for (const route of this.#byHost.get(host) ?? []) {
       if (path.startsWith(route.pathPrefix)) return route;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * The workspace that holds a key, by the key's digest. How long the look-up
-   * takes tells of the digest only, from which no key can be guessed.
+   * Finds the workspace of a key by the key's digest. The duration of the lookup
+   * can reveal only the digest, and a key cannot be derived from its digest.
    */
   findWorkspace(keyDigest: string): Workspace | undefined {
     return this.#workspaces.get(keyDigest);
@@ -59,17 +59,17 @@
 }
 
 /**
- * Chooses the service of a request by the weights of its route.
+ * Chooses a service at random by the weights of the route.
  *
- * @param point a number from 0 up to 1
+ * @param point a random number from 0 up to but not including 1
  */
 export function chooseService(route: Route, point: number): string {
-  let sum = 0;
-  for (const target of route.targets) sum += target.weight;
-  let rest = point * sum;
+  let totalWeight = 0;
+  for (const target of route.targets) totalWeight += target.weight;
+  let remaining = point * totalWeight;
   for (const target of route.targets) {
-    rest -= target.weight;
-    if (rest < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return route.targets.at(-1)?.service ?? "";
 }
--- a/packages/gateway/src/routing/route_table_test.ts
+++ b/packages/gateway/src/routing/route_table_test.ts
@@ -46,7 +46,7 @@
   t.end();
 });
 
-test("services are chosen by weight", (t) => {
+test("services are chosen by their weights", (t) => {
   const route = createRoute("r", "/");
   t.equal(chooseService(route, 0), "s");
   t.equal(chooseService(route, 0.89), "s");
