--- a/packages/gateway/src/calls/judge_answer_test.ts
+++ b/packages/gateway/src/calls/classify_answer_test.ts
@@ -1,7 +1,7 @@
 import { RESULT_CODES } from "@mallowlift/core";
 import { test } from "tap";
 import type { AnswerFacts } from "../dialect.ts";
-import { classifyAnswer } from "./judge_answer.ts";
+import { classifyAnswer } from "./classify_answer.ts";
 
 function createFacts(more: Partial<AnswerFacts>): AnswerFacts {
   return {
--- a/packages/gateway/src/calls/run_attempt.ts
+++ b/packages/gateway/src/calls/run_attempt.ts
@@ -12,7 +12,7 @@
 import type { AnswerHead, CallerDialect } from "../dialect.ts";
 import { findHeader } from "../http/headers.ts";
 import type { ConnectionLimits, Upstream } from "../upstreams/upstream.ts";
-import { classifyAnswer, isServerError } from "./judge_answer.ts";
+import { classifyAnswer, isServerError } from "./classify_answer.ts";
 import type {
   AnswerListener,
   Belonging,
--- a/packages/gateway/src/calls/run_attempt_at.ts
+++ b/packages/gateway/src/calls/run_call_attempt.ts
@@ -7,7 +7,7 @@
 import type { ConnectionLimits, Upstream } from "../upstreams/upstream.ts";
 import { hasWorkspaces } from "../workspaces/scoped_id.ts";
 import { BodyRelay } from "./body_relay.ts";
-import type { CallDependencies } from "./call_parts.ts";
+import type { CallDependencies } from "./call_dependencies.ts";
 import type { OpenCall } from "./open_call.ts";
 import {
   type AttemptResult,
@@ -35,7 +35,7 @@
 }
 
 /** Runs an attempt of a call at an upstream. */
-export async function runAttemptAt(
+export async function runCallAttempt(
   upstream: Upstream,
   call: OpenCall,
   details: {
--- a/packages/gateway/src/calls/run_plain_call.ts
+++ b/packages/gateway/src/calls/run_plain_call.ts
@@ -2,7 +2,7 @@
 
 import { RESULT_CODES } from "@mallowlift/core";
 import { dropHopHeaders } from "../http/headers.ts";
-import type { CallDependencies, CallFailure } from "./call_parts.ts";
+import type { CallDependencies, CallFailure } from "./call_dependencies.ts";
 import { EventRelay } from "./event_relay.ts";
 import type { OpenCall } from "./open_call.ts";
 import { sendCall } from "./send_call.ts";
--- a/packages/gateway/src/calls/run_turn.ts
+++ b/packages/gateway/src/calls/run_turn.ts
@@ -17,7 +17,7 @@
 import type { PermitPool } from "../quotas/permit_pool.ts";
 import type { SiteClient } from "../site/site_client.ts";
 import { findScope, scopeId } from "../workspaces/scoped_id.ts";
-import type { CallDependencies } from "./call_parts.ts";
+import type { CallDependencies } from "./call_dependencies.ts";
 import { EventRelay } from "./event_relay.ts";
 import type { OpenCall } from "./open_call.ts";
 import { failCall } from "./run_plain_call.ts";
--- a/packages/gateway/src/calls/send_call.ts
+++ b/packages/gateway/src/calls/send_call.ts
@@ -10,11 +10,11 @@
 } from "@mallowlift/core";
 import { isRepeatable, isResumable } from "../routing/repeatable.ts";
 import type { Upstream } from "../upstreams/upstream.ts";
-import type { CallDependencies, CallFailure } from "./call_parts.ts";
-import { isServerError } from "./judge_answer.ts";
+import type { CallDependencies, CallFailure } from "./call_dependencies.ts";
+import { isServerError } from "./classify_answer.ts";
 import type { OpenCall } from "./open_call.ts";
 import type { AttemptResult } from "./run_attempt.ts";
-import { runAttemptAt, type SendOptions } from "./run_attempt_at.ts";
+import { runCallAttempt, type SendOptions } from "./run_call_attempt.ts";
 
 /** Delay before a retry when no upstream can be chosen, ms. */
 const ALL_FULL_DELAY_MILLISECONDS = 25;
@@ -75,7 +75,7 @@
       break;
     }
     const isLast = !mayRepeat || possibleRuns + 1 >= route.maxAttempts;
-    const result = await runAttemptAt(upstream, call, {
+    const result = await runCallAttempt(upstream, call, {
       parts,
       options,
       // The send gate may have waited for the leader.
