--- a/packages/consensus/src/group/applier.ts
+++ b/packages/consensus/src/group/applier.ts
@@ -1,7 +1,10 @@
-/** Applies committed entries, answers their proposers, and takes snapshots. */
+/**
+ * Applies committed entries to the state machine, resolves their proposals, and
+ * takes snapshots.
+ */
 
 import { performance } from "node:perf_hooks";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as yieldToEventLoop } from "node:timers/promises";
 import { decode } from "cbor-x";
 import {
   createDeferred,
@@ -19,23 +22,25 @@
 import { findCost, LARGE_COST, type WaitingEntries } from "./proposal_gate.ts";
 import { noteSnapshot, SNAPSHOT_KINDS } from "./snapshot_times.ts";
 
-/** Least part of the entries of the settings after which a snapshot is taken. */
-const LEAST_SNAPSHOT_SHARE = 0.5;
+/** Smallest fraction of `snapshotEntries` after which a snapshot is taken. */
+const MIN_SNAPSHOT_FRACTION = 0.5;
 
 /**
- * Part of the entries of the settings that are kept beyond a snapshot for
- * members that lack them: it bounds the memory for one that stays behind.
+ * Fraction of `snapshotEntries` that is retained beyond a snapshot for members
+ * that lack these entries. It bounds the memory that a lagging member costs.
  */
-const KEPT_SHARE = 0.5;
+const RETAINED_FRACTION = 0.5;
 
 /**
- * Entries of others that are applied before the event loop runs again. After a
- * start all voters replay their logs at once, and must hear their leader
- * meanwhile.
+ * Entries without a local proposal that are applied before control returns to
+ * the event loop. After a start all voters replay their logs at the same time
+ * and must still process the heartbeats of their leader.
  */
-const STEP_ENTRIES = 128;
+const REPLAY_STEP_ENTRIES = 128;
 
-/** A committed command and what the state machine made of it. */
+/**
+ * Index of a committed command and the result that the state machine returned.
+ */
 export interface Applied {
   readonly index: number;
   readonly result: unknown;
@@ -43,28 +48,31 @@
 
 interface Proposal {
   readonly term: number;
-  /** When it was proposed, by the monotonic clock. */
+  /** When the command was proposed, by the monotonic clock, ms. */
   readonly at: number;
   readonly cost: number;
   readonly done: Deferred<Outcome<Applied>>;
 }
 
-/** Drives the state machine of a group. */
+/** Applies committed entries of a group to its state machine. */
 export class Applier {
   readonly #options: GroupOptions;
   readonly #store: EntryStore;
   readonly #proposals = new Map<number, Proposal>();
   #commitIndex: number;
   #appliedIndex: number;
-  /** Cost of all own proposals. */
-  #waitingCost = 0;
-  /** Costs of the large ones by index; seldom any. */
-  readonly #largeCosts = new Map<number, number>();
+  /** Total cost of the pending proposals. */
+  #pendingCost = 0;
+  /** Costs of pending proposals above LARGE_COST, by index; usually empty. */
+  readonly #largeCostByIndex = new Map<number, number>();
   #isApplying = false;
-  #snapshotting = false;
-  #snapshotShare = chooseSnapshotShare();
+  #isSnapshotting = false;
+  #snapshotFraction = chooseSnapshotFraction();
   #snapshotIndex: number;
-  /** Last entry that no member lacks; set by the group, which knows while it leads. */
+  /**
+   * Returns the highest index that all members in contact have, except cold
+   * spares; Infinity while this replica does not lead. Set by the group.
+   */
   getWantedIndex: () => number = () => Infinity;
 
   constructor(options: GroupOptions, store: EntryStore) {
@@ -77,27 +85,33 @@
     options.stateMachine.restore(snapshot?.state ?? new Uint8Array());
   }
 
-  /** Last entry that is known to be committed. */
+  /** Index of the last entry that is known to be committed. */
   get commitIndex(): number {
     return this.#commitIndex;
   }
 
-  /** Last entry that the state machine has applied. */
+  /** Index of the last entry that the state machine has applied. */
   get appliedIndex(): number {
     return this.#appliedIndex;
   }
 
-  /** Own proposals that are not decided yet; they were made in order. */
+  /**
+   * Pending proposals. The map holds them in the order of proposal, so the
+   * first is the oldest.
+   */
   get waiting(): WaitingEntries {
     const [oldest] = this.#proposals.values();
     return {
-      cost: this.#waitingCost,
-      largestCost: Math.max(0, ...this.#largeCosts.values()),
+      cost: this.#pendingCost,
+      largestCost: Math.max(0, ...this.#largeCostByIndex.values()),
       oldestAt: oldest?.at ?? Infinity,
     };
   }
 
-  /** Waits for an entry that is about to be appended. */
+  /**
+   * Registers a proposal for an entry that is about to be appended. Resolves
+   * when the entry has been applied, or fails with LEADERSHIP_LOST.
+   */
   waitFor(entry: LogEntry, now: number): Promise<Outcome<Applied>> {
     const proposal: Proposal = {
       term: entry.term,
@@ -105,32 +119,42 @@
       cost: findCost(entry.payload.length),
       done: createDeferred(),
     };
-    this.#waitingCost += proposal.cost;
+    this.#pendingCost += proposal.cost;
     if (proposal.cost > LARGE_COST) {
-      this.#largeCosts.set(entry.index, proposal.cost);
+      this.#largeCostByIndex.set(entry.index, proposal.cost);
     }
     this.#proposals.set(entry.index, proposal);
     return proposal.done.promise;
   }
 
-  /** Ends all proposals: their entries may or may not become committed. */
+  /**
+   * Fails all pending proposals; their entries may or may not be committed
+   * later.
+   */
   loseProposals(): void {
     for (const proposal of this.#proposals.values()) {
-      proposal.done.resolve(loseLeadership());
+      proposal.done.resolve(failWithLeadershipLost());
     }
     this.#proposals.clear();
-    this.#waitingCost = 0;
-    this.#largeCosts.clear();
+    this.#pendingCost = 0;
+    this.#largeCostByIndex.clear();
   }
 
-  /** Applies what is committed up to an index; a long replay goes on in steps. */
+  /**
+   * Marks entries up to an index as committed and applies them; a long replay
+   * is split into steps.
+   */
   commitUntil(index: number): void {
     if (index <= this.#commitIndex) return;
     this.#commitIndex = index;
     if (!this.#isApplying) void this.#applyCommitted();
   }
 
-  /** Own proposals are applied without a pause: the leader counts them as they end. */
+  /**
+   * Applies committed entries in order. Does not pause between entries with a
+   * local proposal: the leader compares the pending cost before and after
+   * `commitUntil` to find what was committed.
+   */
   async #applyCommitted(): Promise<void> {
     this.#isApplying = true;
     let replayed = 0;
@@ -140,15 +164,15 @@
       if (!this.#proposals.has(entry.index)) replayed++;
       this.#appliedIndex = entry.index;
       this.#apply(entry);
-      if (replayed < STEP_ENTRIES) continue;
-      await nextTurn();
+      if (replayed < REPLAY_STEP_ENTRIES) continue;
+      await yieldToEventLoop();
       replayed = 0;
     }
     this.#isApplying = false;
     void this.#snapshotIfDue();
   }
 
-  /** Puts a snapshot of the leader in place of the own state and log. */
+  /** Replaces the local state and log by a snapshot from the leader. */
   async install(snapshot: Snapshot): Promise<void> {
     const { lastIndex, lastTerm, members, state } = snapshot;
     if (lastIndex <= this.#commitIndex) return;
@@ -181,46 +205,53 @@
     const proposal = this.#proposals.get(entry.index);
     if (proposal === undefined) return;
     this.#proposals.delete(entry.index);
-    this.#waitingCost -= proposal.cost;
-    this.#largeCosts.delete(entry.index);
-    const isOwn = proposal.term === entry.term;
+    this.#pendingCost -= proposal.cost;
+    this.#largeCostByIndex.delete(entry.index);
+    const isSameEntry = proposal.term === entry.term;
     proposal.done.resolve(
-      isOwn ? Ok({ index: entry.index, result }) : loseLeadership(),
+      isSameEntry
+        ? Ok({ index: entry.index, result })
+        : failWithLeadershipLost(),
     );
   }
 
   /**
-   * Drops what the last snapshot covers, but for what members that are there
-   * still lack: sent their entries they are up to date in a second or two,
-   * where a whole state for each of them fills the leader's way for many.
+   * Drops the entries that the last snapshot covers, except those that a member
+   * in contact still lacks. Sending these entries brings a member up to date in
+   * a second or two; sending a whole snapshot to each of them would occupy the
+   * leader's network link for many seconds.
    */
-  #dropEntries(): void {
-    const most = KEPT_SHARE * this.#options.timing.snapshotEntries;
-    const oldest = Math.floor(this.#snapshotIndex - most);
-    const wanted = Math.min(this.#snapshotIndex, this.getWantedIndex());
-    this.#store.log.dropUntil(Math.max(oldest, wanted));
+  #dropCoveredEntries(): void {
+    const maxRetained = RETAINED_FRACTION *
+      this.#options.timing.snapshotEntries;
+    const retentionIndex = Math.floor(this.#snapshotIndex - maxRetained);
+    const replicatedIndex = Math.min(
+      this.#snapshotIndex,
+      this.getWantedIndex(),
+    );
+    this.#store.log.dropUntil(Math.max(retentionIndex, replicatedIndex));
   }
 
   async #snapshotIfDue(): Promise<void> {
     const { log, membership } = this.#store;
     const { timing, folder, stateMachine, group } = this.#options;
-    const pending = this.#appliedIndex - this.#snapshotIndex;
-    const due = timing.snapshotEntries * this.#snapshotShare;
-    if (pending < due || this.#snapshotting) return;
-    this.#snapshotting = true;
-    this.#snapshotShare = chooseSnapshotShare();
+    const newEntries = this.#appliedIndex - this.#snapshotIndex;
+    const threshold = timing.snapshotEntries * this.#snapshotFraction;
+    if (newEntries < threshold || this.#isSnapshotting) return;
+    this.#isSnapshotting = true;
+    this.#snapshotFraction = chooseSnapshotFraction();
     const startedAt = performance.now();
     const lastIndex = this.#appliedIndex;
     await folder.saveSnapshot({
       group,
       lastIndex,
       lastTerm: log.findTerm(lastIndex) ?? 0,
-      members: membership.findAt(lastIndex),
+      members: membership.findAtIndex(lastIndex),
       parts: stateMachine.takeSnapshot(),
     });
     this.#snapshotIndex = lastIndex;
-    this.#dropEntries();
-    this.#snapshotting = false;
+    this.#dropCoveredEntries();
+    this.#isSnapshotting = false;
     const milliseconds = performance.now() - startedAt;
     noteSnapshot(this.#options, { kind: SNAPSHOT_KINDS.WRITTEN, milliseconds });
     this.#options.logger.info("Snapshot taken", {
@@ -232,19 +263,19 @@
 }
 
 /**
- * Part of the entries after which the next snapshot is taken. All replicas
- * apply the same entries: at a fixed count each would write its state in the
- * same moment, and no quorum would answer meanwhile. On a simulated site of
- * ten stores that cost the leader its place 20 s after the start, in three of
- * three plays.
+ * Chooses the fraction of `snapshotEntries` after which the next snapshot is
+ * taken. All replicas apply the same entries, so with a fixed count they would
+ * all write their snapshots at the same moment and no quorum would answer
+ * meanwhile. On a site of ten stores the leader then lost its leadership 20 s
+ * after the start.
  */
-function chooseSnapshotShare(): number {
-  return LEAST_SNAPSHOT_SHARE + (1 - LEAST_SNAPSHOT_SHARE) * Math.random();
+function chooseSnapshotFraction(): number {
+  return MIN_SNAPSHOT_FRACTION + (1 - MIN_SNAPSHOT_FRACTION) * Math.random();
 }
 
-function loseLeadership() {
+function failWithLeadershipLost() {
   return fail(
     RESULT_CODES.LEADERSHIP_LOST,
-    "Leadership was lost before the quorum answered",
+    "Leadership was lost before a quorum acknowledged the entry",
   );
 }
--- a/packages/consensus/src/group/applier_test.ts
+++ b/packages/consensus/src/group/applier_test.ts
@@ -5,16 +5,16 @@
   SILENT_LOGGER,
 } from "@mallowlift/core";
 import { encode } from "cbor-x";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as yieldToEventLoop } from "node:timers/promises";
 import { test } from "tap";
 import { type Applied, Applier } from "./applier.ts";
 import type { EntryStore } from "./entry_store.ts";
 import { GroupLog } from "./group_log.ts";
 import type { GroupOptions } from "./group_options.ts";
 
-const ENTRIES = 2_000;
-/** Turns of the event loop in which everything is applied. */
-const TURNS = 200;
+const ENTRY_COUNT = 2_000;
+/** Turns of the event loop that are enough to apply all entries. */
+const EVENT_LOOP_TURNS = 200;
 
 function createEntry(index: number): LogEntry {
   return {
@@ -25,7 +25,7 @@
   };
 }
 
-/** An applier of so many entries, none of them applied yet. */
+/** Creates an applier whose log holds `count` entries, none of them applied. */
 function createApplier(count: number) {
   const applied: number[] = [];
   const entries = Array.from({ length: count }, (_, at) => createEntry(at + 1));
@@ -47,37 +47,41 @@
   return { applier, applied, log };
 }
 
-async function settle(): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn++) await nextTurn();
+async function runEventLoop(): Promise<void> {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn++) await yieldToEventLoop();
 }
 
-// Guards against a replay in one go, during which no voter hears its leader.
-test("a long replay leaves the event loop to others in between", async (t) => {
-  const { applier, applied } = createApplier(ENTRIES);
-  applier.commitUntil(ENTRIES - 5);
-  const inOneGo = applied.length;
-  t.ok(inOneGo > 0 && inOneGo < ENTRIES / 4, `${inOneGo} in one go`);
-  await nextTurn();
-  applier.commitUntil(ENTRIES);
-  await settle();
-  const inOrder = Array.from({ length: ENTRIES }, (_, at) => at + 1);
-  t.same(applied, inOrder, "each once, in order");
-  t.equal(applier.appliedIndex, ENTRIES);
+// Guards against a replay that blocks the event loop: a voter would not process
+// the heartbeats of its leader until the replay ends.
+test("a long replay yields to the event loop", async (t) => {
+  const { applier, applied } = createApplier(ENTRY_COUNT);
+  applier.commitUntil(ENTRY_COUNT - 5);
+  const appliedAtOnce = applied.length;
+  t.ok(
+    appliedAtOnce > 0 && appliedAtOnce < ENTRY_COUNT / 4,
+    `${appliedAtOnce} applied at once`,
+  );
+  await yieldToEventLoop();
+  applier.commitUntil(ENTRY_COUNT);
+  await runEventLoop();
+  const inOrder = Array.from({ length: ENTRY_COUNT }, (_, at) => at + 1);
+  t.same(applied, inOrder, "each entry once, in order");
+  t.equal(applier.appliedIndex, ENTRY_COUNT);
 });
 
-test("own proposals are decided at once, after what came before them", async (t) => {
-  const { applier, applied, log } = createApplier(ENTRIES);
-  const ended: Promise<Outcome<Applied>>[] = [];
-  for (let own = 1; own <= ENTRIES; own++) {
-    const entry = createEntry(ENTRIES + own);
+test("local proposals are applied without a pause, after all earlier entries", async (t) => {
+  const { applier, applied, log } = createApplier(ENTRY_COUNT);
+  const outcomes: Promise<Outcome<Applied>>[] = [];
+  for (let own = 1; own <= ENTRY_COUNT; own++) {
+    const entry = createEntry(ENTRY_COUNT + own);
     log.append(entry);
-    ended.push(applier.waitFor(entry, 0));
+    outcomes.push(applier.waitFor(entry, 0));
   }
-  applier.commitUntil(ENTRIES);
-  await settle();
-  t.equal(applied.length, ENTRIES);
-  applier.commitUntil(2 * ENTRIES);
-  t.equal(applied.length, 2 * ENTRIES, "in one go");
+  applier.commitUntil(ENTRY_COUNT);
+  await runEventLoop();
+  t.equal(applied.length, ENTRY_COUNT);
+  applier.commitUntil(2 * ENTRY_COUNT);
+  t.equal(applied.length, 2 * ENTRY_COUNT, "applied without a pause");
   t.equal(applier.waiting.cost, 0);
-  t.ok((await Promise.all(ended)).every((outcome) => outcome.ok));
+  t.ok((await Promise.all(outcomes)).every((outcome) => outcome.ok));
 });
--- a/packages/consensus/src/group/election.ts
+++ b/packages/consensus/src/group/election.ts
@@ -1,4 +1,4 @@
-/** Asks the voters of a group for their votes. */
+/** Requests votes from the other voters of a group in parallel. */
 
 import {
   createDeferred,
@@ -9,7 +9,7 @@
 import type { GroupOptions } from "./group_options.ts";
 import { isSameReplica, type Membership } from "./membership.ts";
 
-/** What a candidate asks for. */
+/** Fields of a vote request that are the same for every voter. */
 export interface Ballot {
   readonly term: number;
   readonly preVote: boolean;
@@ -18,19 +18,22 @@
   readonly lastTerm: number;
 }
 
-/** How the voters decided. */
+/** Result of one round of vote requests. */
 export interface ElectionResult {
   readonly won: boolean;
-  /** Votes that were given, with the own one. */
+  /** Granted votes, including the candidate's own. */
   readonly granted: number;
-  /** Votes that were refused; the others did not answer in time. */
+  /** Refused votes; the remaining voters did not answer in time. */
   readonly refused: number;
-  /** Highest term seen in the answers. */
+  /** Highest term in the replies. */
   readonly highestTerm: number;
 }
 
-/** Asks all voters at once and returns as soon as a quorum has agreed. */
-export async function askForVotes(
+/**
+ * Requests votes from all other voters at once. Returns as soon as a quorum has
+ * granted them, or when every voter has answered or timed out.
+ */
+export async function requestVotes(
   ballot: Ballot,
   parts: { readonly options: GroupOptions; readonly membership: Membership },
 ): Promise<ElectionResult> {
@@ -44,19 +47,19 @@
   let refused = 0;
   let highestTerm = ballot.term;
   if (granted >= quorum) return { won: true, granted, refused, highestTerm };
-  const asking = others.map(async (voter) => {
-    const reply = await askVoter(voter, ballot, options);
+  const requests = others.map(async (voter) => {
+    const reply = await requestVote(voter, ballot, options);
     if (reply === undefined) return;
     highestTerm = Math.max(highestTerm, reply.term);
     if (reply.granted) granted++;
     else refused++;
     if (granted >= quorum) decided.resolve(undefined);
   });
-  await Promise.race([decided.promise, Promise.all(asking)]);
+  await Promise.race([decided.promise, Promise.all(requests)]);
   return { won: granted >= quorum, granted, refused, highestTerm };
 }
 
-async function askVoter(
+async function requestVote(
   voter: Member,
   ballot: Ballot,
   options: GroupOptions,
--- a/packages/consensus/src/group/elections.ts
+++ b/packages/consensus/src/group/elections.ts
@@ -1,34 +1,43 @@
-/** Stands for election whenever no leader has been heard for a while. */
+/**
+ * Starts an election when a replica has had no contact with a leader for an
+ * election timeout.
+ */
 
 import { performance } from "node:perf_hooks";
 import { sleep } from "@mallowlift/core";
-import { askForVotes, type Ballot, type ElectionResult } from "./election.ts";
+import { type Ballot, type ElectionResult, requestVotes } from "./election.ts";
 import type { EntryStore } from "./entry_store.ts";
 import type { GroupOptions } from "./group_options.ts";
 import type { GroupReport } from "./group_report.ts";
 
-/** Most of the pause before the first election, ms: two rounds of votes. */
-const FIRST_PAUSE_MILLISECONDS = 40;
-/** Most of the pause between elections that nobody wins, ms: some rounds of votes. */
-const OVERDUE_PAUSE_MILLISECONDS = 300;
+/** Maximum pause before the first election, ms: about two rounds of votes. */
+const MAX_FIRST_PAUSE_MILLISECONDS = 40;
+/**
+ * Upper limit for the pause between elections without a winner, ms: several
+ * rounds of votes.
+ */
+const MAX_RETRY_PAUSE_MILLISECONDS = 300;
 
-/** The replica that stands for election. */
+/** The replica that takes part in elections. */
 export interface Candidate {
   getTerm(): number;
   isLeader(): boolean;
-  /** When a leader was last heard. */
+  /**
+   * Time of the last contact with a leader, by the monotonic clock, ms.
+   * Granting a vote and stepping down count as contact.
+   */
   getHeardAt(): number;
-  /** Steps down if it leads an earlier term. */
+  /** Moves to a higher term; steps down if it leads a lower one. */
   adoptTerm(term: number): void;
-  /** Votes for itself in its term; resolves when that is on disk. */
+  /** Votes for itself in its term; resolves when the vote is on disk. */
   voteForSelf(): Promise<void>;
-  /** Begins to lead its term. */
+  /** Becomes the leader of its term. */
   lead(): void;
-  /** Called each election timeout while it leads. */
+  /** Checks the leadership; called once per election timeout while it leads. */
   lookAfterLeadership(now: number): void;
 }
 
-/** What elections work with. */
+/** Dependencies of {@linkcode Elections}. */
 export interface ElectionParts {
   readonly options: GroupOptions;
   readonly store: EntryStore;
@@ -38,7 +47,9 @@
   readonly stopped: AbortSignal;
 }
 
-/** The task that holds elections. */
+/**
+ * Background task that watches the election timeout and stands for election.
+ */
 export class Elections {
   readonly #parts: ElectionParts;
   #isElecting = false;
@@ -48,22 +59,28 @@
   }
 
   /**
-   * Runs until the group stops. No leader has been heard in this life, so the
-   * first election comes after a short pause; where there is a leader, those
-   * who hear it refuse the vote.
+   * Runs until the group stops. After a start there has been no contact with a
+   * leader yet, so the first election follows a short pause. If the group has a
+   * leader, the voters that are in contact with it refuse the pre-vote.
    */
   async run(): Promise<void> {
     const { options, candidate, stopped } = this.#parts;
-    const least = options.timing.electionMilliseconds;
-    const overdue = Math.min(least, OVERDUE_PAUSE_MILLISECONDS);
-    let pause = FIRST_PAUSE_MILLISECONDS * Math.random();
+    const minimumTimeout = options.timing.electionMilliseconds;
+    const maxRetryPause = Math.min(
+      minimumTimeout,
+      MAX_RETRY_PAUSE_MILLISECONDS,
+    );
+    let pause = MAX_FIRST_PAUSE_MILLISECONDS * Math.random();
     while (!stopped.aborted) {
-      const timeout = least * (1 + Math.random());
-      const heardFor = performance.now() - candidate.getHeardAt();
-      const rest = candidate.isLeader() ? least : timeout - heardFor;
-      await sleep(Math.max(rest, pause), stopped);
-      // Chance keeps replicas that are all overdue from asking in step.
-      pause = overdue * (0.1 + 0.6 * Math.random());
+      const timeout = minimumTimeout * (1 + Math.random());
+      const silence = performance.now() - candidate.getHeardAt();
+      const remaining = candidate.isLeader()
+        ? minimumTimeout
+        : timeout - silence;
+      await sleep(Math.max(remaining, pause), stopped);
+      // The random pause keeps replicas whose timeouts have all expired from
+      // requesting votes at the same time.
+      pause = maxRetryPause * (0.1 + 0.6 * Math.random());
       if (stopped.aborted) return;
       const now = performance.now();
       if (candidate.isLeader()) {
@@ -78,8 +95,9 @@
   /**
    * Stands for election once.
    *
-   * @param handover true if the leader has asked for it; voters then need not
-   * have missed it
+   * @param handover true if the leader has requested this election; the voters
+   * then don't wait until the leader's lease has run out, and there is no
+   * pre-vote
    */
   async elect(handover: boolean): Promise<void> {
     const { options, store, candidate, stopped } = this.#parts;
@@ -100,29 +118,29 @@
   }
 
   async #wins(
-    kind: { readonly preVote: boolean; readonly handover: boolean },
+    round: { readonly preVote: boolean; readonly handover: boolean },
   ): Promise<boolean> {
     const { options, store, candidate } = this.#parts;
     const term = candidate.getTerm();
     const ballot: Ballot = {
-      ...kind,
-      term: kind.preVote ? term + 1 : term,
+      ...round,
+      term: round.preVote ? term + 1 : term,
       lastIndex: store.log.lastIndex,
       lastTerm: store.log.lastTerm,
     };
     const { membership } = store;
-    const result = await askForVotes(ballot, { options, membership });
-    this.#note(ballot, result);
+    const result = await requestVotes(ballot, { options, membership });
+    this.#recordElection(ballot, result);
     if (result.highestTerm > ballot.term) {
       candidate.adoptTerm(result.highestTerm);
     }
     return result.won && candidate.getTerm() === term;
   }
 
-  #note(ballot: Ballot, result: ElectionResult): void {
+  #recordElection(ballot: Ballot, result: ElectionResult): void {
     const { store, report, candidate } = this.#parts;
     const now = performance.now();
-    report.noteElection({
+    report.recordElection({
       term: ballot.term,
       preVote: ballot.preVote,
       won: result.won,
--- a/packages/consensus/src/group/encode_payload.ts
+++ b/packages/consensus/src/group/encode_payload.ts
@@ -1,12 +1,12 @@
-/** Encodes what stays in memory with the log. */
+/** Encodes commands as entry payloads, which stay in memory with the log. */
 
 import { Buffer } from "node:buffer";
 import { encode } from "cbor-x";
 
 /**
- * Encodes a command into memory of its own. The encoder writes into large
- * blocks that messages share; a payload that stays for minutes would keep its
- * whole block, many times its own size.
+ * Encodes a command into a buffer of its own. The encoder writes into large
+ * blocks that several messages share. A payload stays in memory for minutes and
+ * would keep its whole block alive, many times its own size.
  *
  * @example
  * ```ts
--- a/packages/consensus/src/group/entry_store.ts
+++ b/packages/consensus/src/group/entry_store.ts
@@ -1,4 +1,7 @@
-/** The entries of a group: in memory, on disk, and what they say of its members. */
+/**
+ * Stores the entries of a group in memory and on disk, and derives its
+ * membership from them.
+ */
 
 import { performance } from "node:perf_hooks";
 import { ENTRY_KINDS, type LogEntry, type Member } from "@mallowlift/core";
@@ -7,11 +10,11 @@
 import { GroupLog } from "./group_log.ts";
 import { decodeMembers, Membership } from "./membership.ts";
 
-/** Appends entries and knows which are on disk. */
+/** Appends entries and tracks which of them are on disk. */
 export class EntryStore {
   readonly log: GroupLog;
   readonly membership: Membership;
-  /** Called when an entry has changed the members. */
+  /** Called after a membership entry has been appended. */
   onMembership: (now: number) => void = () => undefined;
   readonly #group: number;
   readonly #folder: DataFolder;
@@ -24,36 +27,42 @@
     this.#folder = folder;
     this.log = new GroupLog(base, baseTerm, stored.entries);
     this.membership = new Membership(base, stored.snapshot?.members ?? []);
-    for (const entry of stored.entries) this.#noteMembership(entry);
+    for (const entry of stored.entries) this.#trackMembership(entry);
     this.#syncedIndex = this.log.lastIndex;
   }
 
-  /** Last entry that is known to be on disk. */
+  /** Index of the last entry that is known to be on disk. */
   get syncedIndex(): number {
     return this.#syncedIndex;
   }
 
-  /** Appends an entry of the leader itself; resolves when it is on disk. */
+  /**
+   * Appends an entry that this replica proposes as leader; resolves when it is
+   * on disk.
+   */
   async appendOwn(entry: LogEntry): Promise<void> {
     this.#append(entry);
-    await this.#save([entry]);
-    this.#noteSynced(entry);
+    await this.#persist([entry]);
+    this.#advanceSyncedIndex(entry);
   }
 
-  /** Stores entries of the leader; resolves when all up to them are on disk. */
+  /**
+   * Stores entries from the leader; resolves when they and all earlier ones are
+   * on disk.
+   */
   async storeFromLeader(entries: readonly LogEntry[]): Promise<void> {
-    const fresh = this.#takeFresh(entries);
-    // Entries known before may still be on their way to the disk, so an
-    // empty append waits for the sync as well.
-    const isSynced = fresh.length === 0 &&
+    const added = this.#appendMissing(entries);
+    // Entries that were appended earlier may not be synced yet, so an empty
+    // append waits for the sync as well.
+    const isSynced = added.length === 0 &&
       this.#syncedIndex >= this.log.lastIndex;
     if (isSynced) return;
-    await this.#save(fresh);
+    await this.#persist(added);
     const last = entries.at(-1);
-    if (last !== undefined) this.#noteSynced(last);
+    if (last !== undefined) this.#advanceSyncedIndex(last);
   }
 
-  /** Starts again from an installed snapshot. */
+  /** Replaces all entries by an installed snapshot. */
   reset(
     index: number,
     term: number,
@@ -64,17 +73,21 @@
     this.#syncedIndex = index;
   }
 
-  #takeFresh(entries: readonly LogEntry[]): readonly LogEntry[] {
-    const fresh: LogEntry[] = [];
+  /**
+   * Appends the entries that the log lacks, and returns them. Truncates the log
+   * at the first entry whose term differs.
+   */
+  #appendMissing(entries: readonly LogEntry[]): readonly LogEntry[] {
+    const added: LogEntry[] = [];
     for (const entry of entries) {
       if (entry.index <= this.log.baseIndex) continue;
-      const isFirst = fresh.length === 0;
+      const isFirst = added.length === 0;
       if (isFirst && this.log.findTerm(entry.index) === entry.term) continue;
       if (isFirst) this.#truncateFrom(entry.index);
-      fresh.push(entry);
+      added.push(entry);
       this.#append(entry);
     }
-    return fresh;
+    return added;
   }
 
   #truncateFrom(index: number): void {
@@ -86,16 +99,16 @@
 
   #append(entry: LogEntry): void {
     this.log.append(entry);
-    this.#noteMembership(entry);
+    this.#trackMembership(entry);
   }
 
-  #noteMembership(entry: LogEntry): void {
+  #trackMembership(entry: LogEntry): void {
     if (entry.kind !== ENTRY_KINDS.MEMBERSHIP) return;
     this.membership.append(entry.index, decodeMembers(entry.payload));
     this.onMembership(performance.now());
   }
 
-  #save(entries: readonly LogEntry[]): Promise<void> {
+  #persist(entries: readonly LogEntry[]): Promise<void> {
     const records: EntryRecord[] = entries.map((entry) => ({
       kind: "entry",
       group: this.#group,
@@ -104,8 +117,11 @@
     return this.#folder.log.append(records);
   }
 
-  /** A later leader may have replaced the entry while it was being synced. */
-  #noteSynced(entry: LogEntry): void {
+  /**
+   * Marks the log as synced up to an entry, unless a later leader replaced the
+   * entry while it was being synced.
+   */
+  #advanceSyncedIndex(entry: LogEntry): void {
     if (this.log.findTerm(entry.index) !== entry.term) return;
     this.#syncedIndex = Math.max(this.#syncedIndex, entry.index);
   }
--- a/packages/consensus/src/group/failure_domains.ts
+++ b/packages/consensus/src/group/failure_domains.ts
@@ -1,14 +1,13 @@
 /**
- * Where copies of a group lie. Nothing here needs a network.
- *
- * The pattern it answers: a failure domain that is lost or cut off. Stores are
- * often named and listed domain by domain, so that the first five of a list are
- * those of one domain, and a quorum goes with it.
+ * Spreads the members of a group over failure domains, so that a quorum
+ * survives the loss or isolation of one domain. Stores are often named and
+ * listed domain by domain: the first five of a list could all lie in the same
+ * domain.
  */
 
 import type { Member } from "@mallowlift/core";
 
-/** How many of the members lie in a failure domain. */
+/** Counts the members in a failure domain. */
 export function countInDomain(
   members: readonly Member[],
   failureDomain: string,
@@ -18,8 +17,8 @@
 }
 
 /**
- * Orders members so that the first few lie in as many failure domains as there
- * are; within a domain they keep their order.
+ * Orders members so that the first ones cover as many failure domains as
+ * possible. Members of the same domain keep their order.
  *
  * @example
  * ```ts
@@ -32,7 +31,7 @@
   const spread: Member[] = [];
   let rest = members;
   while (rest.length > 0) {
-    const next = findLonely(rest, spread);
+    const next = findInEmptiestDomain(rest, spread);
     spread.push(next);
     rest = rest.filter((member) => member !== next);
   }
@@ -40,26 +39,27 @@
 }
 
 /**
- * The first of some members whose failure domain holds the fewest others.
+ * Returns the candidate whose failure domain holds the fewest of the other
+ * members; the first one of several. Throws if there are no candidates.
  *
  * @example
  * ```ts
- * findLonely(candidates, voters); // the next voter
+ * findInEmptiestDomain(candidates, voters); // the next voter
  * ```
  */
-export function findLonely(
+export function findInEmptiestDomain(
   candidates: readonly Member[],
   others: readonly Member[],
 ): Member {
   const [first, ...rest] = candidates;
-  if (first === undefined) throw new Error("There are no candidates");
+  if (first === undefined) throw new Error("No candidates to choose from");
   let best = first;
-  let least = countInDomain(others, first.failureDomain);
+  let lowestCount = countInDomain(others, first.failureDomain);
   for (const candidate of rest) {
-    const near = countInDomain(others, candidate.failureDomain);
-    if (near >= least) continue;
+    const count = countInDomain(others, candidate.failureDomain);
+    if (count >= lowestCount) continue;
     best = candidate;
-    least = near;
+    lowestCount = count;
   }
   return best;
 }
--- a/packages/consensus/src/group/failure_domains_test.ts
+++ b/packages/consensus/src/group/failure_domains_test.ts
@@ -2,7 +2,7 @@
 import { test } from "tap";
 import {
   countInDomain,
-  findLonely,
+  findInEmptiestDomain,
   spreadOverDomains,
 } from "./failure_domains.ts";
 
@@ -30,7 +30,7 @@
   t.end();
 });
 
-test("what has no failure domain keeps its order", (t) => {
+test("members without a failure domain keep their order", (t) => {
   const members = makeMembers("a1", "a2", "a3").map((member) => ({
     ...member,
     failureDomain: "",
@@ -40,12 +40,12 @@
   t.end();
 });
 
-test("the next member comes from the domain with the fewest", (t) => {
+test("the next member comes from the failure domain with the fewest members", (t) => {
   const others = makeMembers("a1", "a2", "b1");
   const next = (...names: readonly string[]) =>
-    findLonely(makeMembers(...names), others).replicaId;
+    findInEmptiestDomain(makeMembers(...names), others).replicaId;
   t.equal(next("a3", "b2", "c1"), "c1");
   t.equal(next("a3", "b2", "b3"), "b2");
-  t.throws(() => next(), { message: "There are no candidates" });
+  t.throws(() => next(), { message: "No candidates to choose from" });
   t.end();
 });
--- a/packages/consensus/src/group/group_log.ts
+++ b/packages/consensus/src/group/group_log.ts
@@ -1,10 +1,14 @@
-/** The entries of one group that are not yet in a snapshot, in memory. */
+/**
+ * Holds the recent entries of a group in memory; a snapshot covers the earlier
+ * ones.
+ */
 
 import type { LogEntry } from "@mallowlift/core";
 
+/** Maximum number of entries in one slice. */
 const MAX_BATCH_ENTRIES = 2_000;
 
-/** Entries after a base index. */
+/** Log entries after a base index. */
 export class GroupLog {
   #baseIndex: number;
   #baseTerm: number;
@@ -20,7 +24,7 @@
     this.#entries = [...entries];
   }
 
-  /** Index of the last entry that is only in the snapshot. */
+  /** Index of the last entry that has been dropped in favour of a snapshot. */
   get baseIndex(): number {
     return this.#baseIndex;
   }
@@ -35,19 +39,22 @@
     return this.#entries.at(-1)?.term ?? this.#baseTerm;
   }
 
-  /** Returns the term of an entry; undefined if it is not known any more or yet. */
+  /**
+   * Returns the term of an entry; undefined if it was dropped or does not exist
+   * yet.
+   */
   findTerm(index: number): number | undefined {
     if (index === this.#baseIndex) return this.#baseTerm;
     return this.get(index)?.term;
   }
 
-  /** Returns an entry, if it is in memory. */
+  /** Returns an entry; undefined if it is not in memory. */
   get(index: number): LogEntry | undefined {
     if (index <= this.#baseIndex) return undefined;
     return this.#entries[index - this.#baseIndex - 1];
   }
 
-  /** Appends an entry whose index follows the last one. */
+  /** Appends an entry; its index must be the last index plus one. */
   append(entry: LogEntry): void {
     this.#entries.push(entry);
   }
@@ -57,12 +64,16 @@
     this.#entries.length = Math.max(0, index - this.#baseIndex - 1);
   }
 
-  /** Returns entries from an index until they have so many bytes; one at least. */
-  slice(from: number, bytesWanted: number): readonly LogEntry[] {
+  /**
+   * Returns entries from an index on, until their payloads reach a number of
+   * bytes or the batch is full. If the first entry is in memory, it is returned
+   * whatever its size.
+   */
+  slice(from: number, minimumBytes: number): readonly LogEntry[] {
     const entries: LogEntry[] = [];
     let bytes = 0;
     let index = from;
-    while (entries.length < MAX_BATCH_ENTRIES && bytes < bytesWanted) {
+    while (entries.length < MAX_BATCH_ENTRIES && bytes < minimumBytes) {
       const entry = this.get(index);
       if (entry === undefined) break;
       entries.push(entry);
@@ -73,8 +84,8 @@
   }
 
   /**
-   * Drops entries up to an index that a snapshot covers; a member that lacks
-   * any of them is sent the whole snapshot instead.
+   * Drops the entries up to an index, all of which a snapshot must cover. A
+   * member that lacks any of them is sent the whole snapshot instead.
    */
   dropUntil(index: number): void {
     const term = this.findTerm(index);
@@ -84,7 +95,7 @@
     this.#baseTerm = term;
   }
 
-  /** Drops everything in favour of an installed snapshot. */
+  /** Drops all entries in favour of an installed snapshot. */
   reset(baseIndex: number, baseTerm: number): void {
     this.#baseIndex = baseIndex;
     this.#baseTerm = baseTerm;
--- a/packages/consensus/src/group/group_options.ts
+++ b/packages/consensus/src/group/group_options.ts
@@ -1,4 +1,4 @@
-/** What a replicated group needs from its surroundings. */
+/** Dependencies and timing of a replicated group. */
 
 import type {
   Logger,
@@ -12,19 +12,20 @@
 
 /** Timing of a group. */
 export interface GroupTiming {
+  /** Time between two heartbeats of a leader, ms. */
   readonly heartbeatMilliseconds: number;
-  /** Least election timeout; the greatest is twice that. */
+  /** Minimum election timeout, ms; the maximum is twice that. */
   readonly electionMilliseconds: number;
-  /** Entries after which a snapshot is taken. */
+  /** Applied entries after which the next snapshot is due at the latest. */
   readonly snapshotEntries: number;
-  /** Silence of a voter after which a standby takes its place. */
+  /** Silence of a voter after which another member replaces it, ms. */
   readonly standbyMilliseconds: number;
 }
 
-/** Finds the way to another member. */
+/** Returns the connection to another member. */
 export type FindPeer = (member: Member) => Caller;
 
-/** Everything that a group is made from. */
+/** Options of a replicated group. */
 export interface GroupOptions {
   readonly group: number;
   readonly identity: ReplicaIdentity;
@@ -33,7 +34,7 @@
   readonly listener: LeadershipListener;
   readonly findPeer: FindPeer;
   readonly timing: GroupTiming;
-  /** Voters that the site was founded with. */
+  /** Number of voters that the group should have. */
   readonly voterCount: number;
   readonly logger: Logger;
   readonly metrics: Metrics;
--- a/packages/consensus/src/group/group_report.ts
+++ b/packages/consensus/src/group/group_report.ts
@@ -1,15 +1,21 @@
-/** Tells in logs and metrics why leaderships begin and end, and what waits. */
+/**
+ * Reports votes, elections, ended leaderships and pending entries in logs and
+ * metrics.
+ */
 
 import { type Logger, type Metrics, RepeatLimit } from "@mallowlift/core";
 import type { VoteOutcome } from "./judge_vote.ts";
 
-/** Why a leadership ended. */
+/**
+ * Reasons for the end of a leadership; the values are metric labels and log
+ * fields.
+ */
 export const LEADERSHIP_ENDS = {
-  /** Too few voters answered for two election timeouts. */
+  /** No quorum of voters answered within two election timeouts. */
   NO_QUORUM: "no quorum answers",
-  /** Another member knows a later term. */
+  /** Another replica has a higher term. */
   HIGHER_TERM: "a later term",
-  /** The replica stops. */
+  /** This replica stops. */
   STOPPED: "stopped",
 } as const;
 
@@ -23,36 +29,39 @@
   readonly role: string;
   /** Entries that it lacks. */
   readonly lag: number;
+  /** Time since its last reply, ms. */
   readonly silentMilliseconds: number;
-  /** Bytes that wait on the connection to it. */
+  /** Bytes queued on the connection to it. */
   readonly unsentBytes: number;
 }
 
-/** What waits at a leader. */
+/** Pending entries of a leader and the state of its members. */
 export interface WaitingView {
   readonly term: number;
-  /** Entries without a quorum. */
+  /** Entries in the log that are not committed yet. */
   readonly waiting: number;
   readonly members: readonly MemberView[];
 }
 
-/** Least time between two lines on the same kind of vote, ms. */
-const VOTE_SPAN_MILLISECONDS = 1_000;
-/** Least time between two lines on entries that wait, ms. */
-const WAIT_SPAN_MILLISECONDS = 1_000;
 /**
- * Entries without a quorum from which a line is written: about what a busy
- * leader proposes in 50 ms, several times the usual time to a quorum.
+ * Minimum time between two log lines on the same kind of vote or election, ms.
  */
-const NOTABLE_ENTRIES = 50;
+const VOTE_LOG_INTERVAL_MILLISECONDS = 1_000;
+/** Minimum time between two log lines on pending entries, ms. */
+const WAITING_LOG_INTERVAL_MILLISECONDS = 1_000;
+/**
+ * Pending entries from which a line is logged. A busy leader proposes about
+ * this many in 50 ms, which is several times the usual commit latency.
+ */
+const MIN_LOGGED_ENTRIES = 50;
 
-/** Writes the lines of one group. */
+/** Writes the log lines and metrics of one group. */
 export class GroupReport {
   readonly #group: number;
   readonly #logger: Logger;
   readonly #metrics: Metrics;
-  readonly #votes = new RepeatLimit(VOTE_SPAN_MILLISECONDS);
-  readonly #waits = new RepeatLimit(WAIT_SPAN_MILLISECONDS);
+  readonly #voteLimit = new RepeatLimit(VOTE_LOG_INTERVAL_MILLISECONDS);
+  readonly #waitingLimit = new RepeatLimit(WAITING_LOG_INTERVAL_MILLISECONDS);
 
   constructor(
     group: number,
@@ -63,7 +72,7 @@
     this.#metrics = parts.metrics;
   }
 
-  /** Notes a vote that this replica was asked for. */
+  /** Records how this replica decided on a vote request. */
   noteVote(
     outcome: VoteOutcome,
     vote: {
@@ -75,8 +84,8 @@
   ): void {
     this.#metrics.votes.inc({ group: this.#group, outcome });
     const { term, candidate, preVote } = vote;
-    const subject = `${outcome} ${candidate} ${preVote}`;
-    const repeats = this.#votes.take(subject, now);
+    const key = `${outcome} ${candidate} ${preVote}`;
+    const repeats = this.#voteLimit.take(key, now);
     if (repeats === undefined) return;
     this.#logger.info("Vote asked for", {
       group: this.#group,
@@ -88,8 +97,10 @@
     });
   }
 
-  /** Notes how an own candidacy ended. */
-  noteElection(
+  /**
+   * Records the result of an election in which this replica was the candidate.
+   */
+  recordElection(
     election: {
       readonly term: number;
       readonly preVote: boolean;
@@ -101,8 +112,8 @@
     },
     now: number,
   ): void {
-    const subject = `election ${election.preVote} ${election.won}`;
-    const repeats = this.#votes.take(subject, now);
+    const key = `election ${election.preVote} ${election.won}`;
+    const repeats = this.#voteLimit.take(key, now);
     if (repeats === undefined) return;
     const { silentMilliseconds, ...facts } = election;
     this.#logger.info("Election", {
@@ -113,7 +124,10 @@
     });
   }
 
-  /** Notes the end of a leadership and what its leader knew by then. */
+  /**
+   * Records the end of a leadership, with the pending entries and the members
+   * at that time.
+   */
   noteEnd(
     reason: LeadershipEnd,
     view: WaitingView,
@@ -131,14 +145,17 @@
     });
   }
 
-  /** Notes what waits at a leader, in a line only if it is much. */
+  /**
+   * Records the pending entries of a leader; logs a line only if there are
+   * many.
+   */
   noteWaiting(
     view: WaitingView,
     now: number,
   ): void {
     this.#metrics.waitingEntries.set({ group: this.#group }, view.waiting);
-    if (view.waiting < NOTABLE_ENTRIES) return;
-    const repeats = this.#waits.take("waiting", now);
+    if (view.waiting < MIN_LOGGED_ENTRIES) return;
+    const repeats = this.#waitingLimit.take("waiting", now);
     if (repeats === undefined) return;
     this.#logger.info("Entries wait", {
       group: this.#group,
@@ -149,7 +166,9 @@
   }
 }
 
-/** One word a member: its name, its part, entries, silence and bytes. */
+/**
+ * Formats each member as id, role, lag in entries, silence and unsent bytes.
+ */
 function describeMembers(members: readonly MemberView[]): string {
   return members.map((member) =>
     `${member.replicaId}:${member.role} lag=${member.lag} ` +
--- a/packages/consensus/src/group/hand_over.ts
+++ b/packages/consensus/src/group/hand_over.ts
@@ -1,4 +1,7 @@
-/** Passes a leadership on before a planned stop. */
+/**
+ * Transfers the leadership to another voter before a planned stop or
+ * retirement.
+ */
 
 import { performance } from "node:perf_hooks";
 import { type HandoverRequest, type Member, sleep } from "@mallowlift/core";
@@ -7,23 +10,26 @@
 import type { Leadership } from "./leadership.ts";
 import type { Membership } from "./membership.ts";
 
-/** Longest time for which a leader that stops looks for a successor, ms. */
-const HANDOVER_MILLISECONDS = 2_000;
+/** Time after which the leader gives up the transfer, ms. */
+const HANDOVER_TIMEOUT_MILLISECONDS = 2_000;
 
-/** What a leader that hands over knows of its group. */
+/** Dependencies of {@linkcode handOverLeadership}. */
 export interface HandOverParts {
   readonly options: GroupOptions;
   readonly log: GroupLog;
   readonly membership: Membership;
 }
 
-/** Asks a voter that has everything to take over, until one has or time is up. */
+/**
+ * Asks a voter with a complete log to stand for election, and repeats this
+ * until the leadership has ended or the timeout is reached.
+ */
 export async function handOverLeadership(
   leadership: Leadership,
   parts: HandOverParts,
 ): Promise<void> {
   const { options } = parts;
-  const deadline = performance.now() + HANDOVER_MILLISECONDS;
+  const deadline = performance.now() + HANDOVER_TIMEOUT_MILLISECONDS;
   while (!leadership.isOver && performance.now() < deadline) {
     const successor = findSuccessor(leadership, parts);
     if (successor !== undefined) {
--- a/packages/consensus/src/group/incoming_snapshot.ts
+++ b/packages/consensus/src/group/incoming_snapshot.ts
@@ -1,22 +1,27 @@
-/** Puts the chunks of a snapshot together. */
+/** Assembles a snapshot from the chunks that a leader sends. */
 
 import { Buffer } from "node:buffer";
 import type { SnapshotRequest } from "@mallowlift/core";
 import type { Snapshot } from "../storage/snapshot_store.ts";
 
-/** Which snapshot a chunk belongs to, and from whom it came. */
+/**
+ * Identifies the snapshot that a chunk belongs to, and by its term the leader
+ * that sent it.
+ */
 type SnapshotKey = Pick<SnapshotRequest, "term" | "lastIndex" | "size">;
 
-/** Chunks that have come so far, in the memory that the whole will take. */
+/**
+ * Received chunks, copied into a buffer with the size of the whole snapshot.
+ */
 export class IncomingSnapshot {
   #state = Buffer.alloc(0);
   #received = 0;
   #key: SnapshotKey | undefined;
 
   /**
-   * Takes a chunk.
+   * Adds a chunk. A chunk at offset 0 starts a new snapshot.
    *
-   * @returns false if it does not follow on what has come so far
+   * @returns false if the chunk does not continue the received ones
    */
   take(request: SnapshotRequest): boolean {
     const { offset, part, size, term, lastIndex } = request;
@@ -27,13 +32,13 @@
     }
     const fits = offset + part.length <= this.#state.length;
     if (offset !== this.#received || !fits) return false;
-    if (!this.#isSame(request)) return false;
+    if (!this.#isSameSnapshot(request)) return false;
     this.#state.set(part, offset);
     this.#received += part.length;
     return true;
   }
 
-  /** Returns the snapshot that ends with this chunk. */
+  /** Returns the complete snapshot; `request` is its last chunk. */
   finish(request: SnapshotRequest): Snapshot {
     const state = this.#state.subarray(0, this.#received);
     this.#state = Buffer.alloc(0);
@@ -42,8 +47,11 @@
     return { group, lastIndex, lastTerm, members, state };
   }
 
-  /** A late chunk of another snapshot may fit by its offset. */
-  #isSame({ term, lastIndex, size }: SnapshotKey): boolean {
+  /**
+   * Guards against a delayed chunk of another snapshot that happens to match
+   * the offset.
+   */
+  #isSameSnapshot({ term, lastIndex, size }: SnapshotKey): boolean {
     const key = this.#key;
     return key?.term === term && key.lastIndex === lastIndex &&
       key.size === size;
--- a/packages/consensus/src/group/incoming_snapshot_test.ts
+++ b/packages/consensus/src/group/incoming_snapshot_test.ts
@@ -24,18 +24,19 @@
   };
 }
 
-test("chunks that follow each other make up the snapshot", (t) => {
+test("consecutive chunks make up the snapshot", (t) => {
   const incoming = new IncomingSnapshot();
   t.ok(incoming.take(createChunk("abc", 0)));
-  t.notOk(incoming.take(createChunk("abc", 4)), "one is missing before it");
+  t.notOk(incoming.take(createChunk("abc", 4)), "a chunk before it is missing");
   const last = createChunk("def", 3);
   t.ok(incoming.take(last));
   t.equal(Buffer.from(incoming.finish(last).state).toString(), "abcdef");
   t.end();
 });
 
-// Guards against a state that is put together from two snapshots.
-test("a late chunk of another snapshot is refused", (t) => {
+// Guards against a state that mixes chunks of two snapshots: a delayed chunk
+// may match the offset of the current snapshot.
+test("a delayed chunk of another snapshot is refused", (t) => {
   const incoming = new IncomingSnapshot();
   t.ok(incoming.take(createChunk("abc", 0)));
   t.notOk(incoming.take(createChunk("xyz", 3, { lastIndex: 4 })));
--- a/packages/consensus/src/group/joining.ts
+++ b/packages/consensus/src/group/joining.ts
@@ -1,4 +1,7 @@
-/** How a replica becomes a member: it asks, and the leader takes it in. */
+/**
+ * Join protocol: a replica sends join requests, and the leader adds it to the
+ * members.
+ */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -13,14 +16,17 @@
 import { Ok } from "ts-results";
 import type { ReplicaSource } from "../founding/replica_source.ts";
 import type { GroupTiming } from "./group_options.ts";
-import { KEEP_MILLISECONDS } from "./keep_members.ts";
+import { MEMBERSHIP_CHECK_MILLISECONDS } from "./keep_members.ts";
 import { addLearner } from "./membership_keeper.ts";
 import type { ReplicatedGroup } from "./replicated_group.ts";
 
-/** Longest wait for the answer of one replica, ms: a leader confirms itself first. */
+/**
+ * Timeout of a join request to one replica, ms. The leader confirms its
+ * leadership with a quorum before it answers.
+ */
 const JOIN_TIMEOUT_MILLISECONDS = 2_000;
 
-/** What a replica asks with. */
+/** Dependencies of {@linkcode keepJoined}. */
 export interface JoinParts {
   readonly self: Member;
   readonly replicas: ReplicaSource;
@@ -29,33 +35,39 @@
   readonly signal: AbortSignal;
 }
 
-/** Asks to be taken in, for as long as no leader counts this replica. */
+/**
+ * Sends join requests whenever no leader has this replica as a member, until
+ * the signal aborts.
+ */
 export async function keepJoined(
   group: ReplicatedGroup,
   parts: JoinParts,
 ): Promise<void> {
   const { self, replicas, signal } = parts;
   while (!signal.aborted) {
-    await sleep(KEEP_MILLISECONDS, signal);
+    await sleep(MEMBERSHIP_CHECK_MILLISECONDS, signal);
     const isMember = group.membership.find(self) !== undefined;
-    if (isCounted(group, { isMember, timing: parts.timing })) continue;
+    if (isJoined(group, { isMember, timing: parts.timing })) continue;
     if (replicas.listRetiring().has(self.incarnation)) continue;
-    await askToJoin(group, { ...parts, isMember });
+    await requestToJoin(group, { ...parts, isMember });
   }
 }
 
-function isCounted(
+/** True if this replica is in contact with a leader that has it as a member. */
+function isJoined(
   group: ReplicatedGroup,
   facts: { readonly isMember: boolean; readonly timing: GroupTiming },
 ): boolean {
-  const patience = 4 * facts.timing.electionMilliseconds;
-  if (group.findSilence(performance.now()) >= patience) return false;
-  // A cold spare was not sent the entry by which it was taken in; each ask
-  // would be another one.
+  const silenceLimit = 4 * facts.timing.electionMilliseconds;
+  if (group.findSilence(performance.now()) >= silenceLimit) return false;
+  // A cold spare is not sent the membership entry that added it, so it can't
+  // find itself in its own log. Each further join request would append another
+  // such entry.
   return facts.isMember || group.isCold;
 }
 
-async function askToJoin(
+/** Sends a join request to each replica until one succeeds. */
+async function requestToJoin(
   group: ReplicatedGroup,
   parts: JoinParts & { readonly isMember: boolean },
 ): Promise<void> {
@@ -71,21 +83,27 @@
   }
 }
 
-/** Takes a replica in, if this one leads. */
+/**
+ * Adds a replica to the members if this replica leads; fails with NOT_LEADER
+ * otherwise.
+ */
 export async function takeIn(
   group: ReplicatedGroup,
   request: JoinRequest,
 ): Promise<Outcome<Record<string, never>>> {
   if (!group.isLeading) {
-    return fail(RESULT_CODES.NOT_LEADER, "This replica does not lead");
+    return fail(RESULT_CODES.NOT_LEADER, "This replica is not the leader");
   }
   const confirmed = await group.confirmLeadership();
   if (confirmed.err) return confirmed;
-  const { members: present } = group.membership;
-  const isKnown = group.membership.find(request.member) !== undefined;
-  if (isKnown && request.knowsItself) return Ok({});
-  // A founder that has missed the founding learns of the members by an entry.
-  const members = isKnown ? present : addLearner(present, request.member);
+  const { members: currentMembers } = group.membership;
+  const isMember = group.membership.find(request.member) !== undefined;
+  if (isMember && request.knowsItself) return Ok({});
+  // A founder that missed the founding is a member already, but does not know
+  // the members. Appending the unchanged membership sends them to it.
+  const members = isMember
+    ? currentMembers
+    : addLearner(currentMembers, request.member);
   const changed = await group.changeMembers(members);
   return changed.ok ? Ok({}) : changed;
 }
--- a/packages/consensus/src/group/judge_vote.ts
+++ b/packages/consensus/src/group/judge_vote.ts
@@ -1,41 +1,48 @@
-/** Decides on a vote that a candidate asks for. Nothing here needs a network. */
+/** Decides whether a replica grants the vote that a candidate requests. */
 
 import type { VoteRequest } from "@mallowlift/core";
 
-/** What became of a vote that was asked for. */
+/** Results of a vote request; the values are metric labels and log fields. */
 export const VOTE_OUTCOMES = {
   GRANTED: "granted",
-  /** Asked in the name of an earlier incarnation. */
-  STRANGER: "an earlier incarnation",
-  /** A leader was heard lately, or this replica leads. */
-  LEADER_HEARD: "a leader was heard",
-  OLD_TERM: "an old term",
-  /** The candidate lacks entries that this replica has. */
-  BEHIND: "the candidate is behind",
-  /** The vote of this term went to somebody else. */
-  GIVEN: "given to another",
+  /** The request is addressed to an earlier incarnation of this replica. */
+  WRONG_INCARNATION: "an earlier incarnation",
+  /** The lease of a leader still runs, or this replica leads. */
+  LEADER_ACTIVE: "a leader was heard",
+  LOWER_TERM: "an old term",
+  /** The candidate's log lacks entries that this replica has. */
+  LOG_BEHIND: "the candidate is behind",
+  /** This replica voted for another candidate in this term. */
+  ALREADY_VOTED: "given to another",
 } as const;
 
 /** One of {@linkcode VOTE_OUTCOMES}. */
 export type VoteOutcome = typeof VOTE_OUTCOMES[keyof typeof VOTE_OUTCOMES];
 
-/** What a voter knows when it is asked. */
+/** State of a voter when a vote request arrives. */
 export interface Voter {
   readonly incarnation: string;
   readonly term: number;
-  /** Who has its vote of this term; empty if nobody has. */
+  /** Replica id that it voted for in this term; empty if it has not voted. */
   readonly votedFor: string;
   readonly isLeading: boolean;
-  /** When a leader was last heard. */
+  /**
+   * Time of the last contact with a leader, by the monotonic clock, ms.
+   * Granting a vote and stepping down count as contact.
+   */
   readonly heardAt: number;
-  /** Time after a word of a leader in which nobody else gets a vote, ms. */
+  /**
+   * Time after contact with a leader in which no other candidate gets a vote,
+   * ms.
+   */
   readonly leaseMilliseconds: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
 /**
- * Returns what a voter answers. A vote for a term later than its own is free.
+ * Decides on a vote request. A voter has not voted yet in a term higher than
+ * its own, and a pre-vote does not use up its vote.
  *
  * @example
  * ```ts
@@ -49,22 +56,22 @@
   now: number,
 ): VoteOutcome {
   if (request.toIncarnation !== voter.incarnation) {
-    return VOTE_OUTCOMES.STRANGER;
+    return VOTE_OUTCOMES.WRONG_INCARNATION;
   }
-  const isHeard = voter.isLeading ||
+  const isLeaderActive = voter.isLeading ||
     now - voter.heardAt < voter.leaseMilliseconds;
-  if (isHeard && !request.handover) return VOTE_OUTCOMES.LEADER_HEARD;
-  if (request.term < voter.term) return VOTE_OUTCOMES.OLD_TERM;
-  if (!isUpToDate(request, voter)) return VOTE_OUTCOMES.BEHIND;
+  if (isLeaderActive && !request.handover) return VOTE_OUTCOMES.LEADER_ACTIVE;
+  if (request.term < voter.term) return VOTE_OUTCOMES.LOWER_TERM;
+  if (!isLogUpToDate(request, voter)) return VOTE_OUTCOMES.LOG_BEHIND;
   if (request.preVote || request.term > voter.term) {
     return VOTE_OUTCOMES.GRANTED;
   }
-  const isFree = voter.votedFor === "" ||
+  const isVoteAvailable = voter.votedFor === "" ||
     voter.votedFor === request.from.replicaId;
-  return isFree ? VOTE_OUTCOMES.GRANTED : VOTE_OUTCOMES.GIVEN;
+  return isVoteAvailable ? VOTE_OUTCOMES.GRANTED : VOTE_OUTCOMES.ALREADY_VOTED;
 }
 
-function isUpToDate(request: VoteRequest, voter: Voter): boolean {
+function isLogUpToDate(request: VoteRequest, voter: Voter): boolean {
   if (request.lastTerm !== voter.lastTerm) {
     return request.lastTerm > voter.lastTerm;
   }
--- a/packages/consensus/src/group/judge_vote_test.ts
+++ b/packages/consensus/src/group/judge_vote_test.ts
@@ -28,45 +28,80 @@
 
 const CASES: readonly [string, Partial<VoteRequest>, Partial<Voter>, string][] =
   [
-    ["a free vote", {}, {}, VOTE_OUTCOMES.GRANTED],
-    ["the same candidate again", {}, { votedFor: "candidate" }, "granted"],
-    ["a vote that was given", {}, { votedFor: "x" }, VOTE_OUTCOMES.GIVEN],
-    ["a later term frees it", { term: 6 }, { votedFor: "x" }, "granted"],
+    ["no vote given yet", {}, {}, VOTE_OUTCOMES.GRANTED],
     [
-      "a pre-vote gives nothing",
+      "a repeated request of the same candidate",
+      {},
+      { votedFor: "candidate" },
+      "granted",
+    ],
+    [
+      "a vote already given to another candidate",
+      {},
+      { votedFor: "x" },
+      VOTE_OUTCOMES.ALREADY_VOTED,
+    ],
+    ["a new vote in a later term", { term: 6 }, { votedFor: "x" }, "granted"],
+    [
+      "a pre-vote does not use up the vote",
       { preVote: true },
       { votedFor: "x" },
       "granted",
     ],
-    ["an old term", { term: 4 }, {}, VOTE_OUTCOMES.OLD_TERM],
-    ["a shorter log", { lastIndex: 39 }, {}, VOTE_OUTCOMES.BEHIND],
-    ["an older log", { lastTerm: 3, lastIndex: 90 }, {}, VOTE_OUTCOMES.BEHIND],
-    ["a newer log", { lastTerm: 5, lastIndex: 1 }, {}, VOTE_OUTCOMES.GRANTED],
+    ["an old term", { term: 4 }, {}, VOTE_OUTCOMES.LOWER_TERM],
+    ["a shorter log", { lastIndex: 39 }, {}, VOTE_OUTCOMES.LOG_BEHIND],
+    [
+      "a longer log with an older last term",
+      { lastTerm: 3, lastIndex: 90 },
+      {},
+      VOTE_OUTCOMES.LOG_BEHIND,
+    ],
+    [
+      "a shorter log with a newer last term",
+      { lastTerm: 5, lastIndex: 1 },
+      {},
+      VOTE_OUTCOMES.GRANTED,
+    ],
     [
-      "within the lease",
+      "within the lease of a leader",
       {},
       { heardAt: NOW - 299 },
-      VOTE_OUTCOMES.LEADER_HEARD,
+      VOTE_OUTCOMES.LEADER_ACTIVE,
+    ],
+    [
+      "after the lease of a leader",
+      {},
+      { heardAt: NOW - 300 },
+      VOTE_OUTCOMES.GRANTED,
+    ],
+    [
+      "a voter that leads",
+      { term: 9 },
+      { isLeading: true },
+      "a leader was heard",
     ],
-    ["after the lease", {}, { heardAt: NOW - 300 }, VOTE_OUTCOMES.GRANTED],
-    ["a leader itself", { term: 9 }, { isLeading: true }, "a leader was heard"],
     [
-      "a hand-over needs no silence",
+      "a handover within the lease",
       { term: 6, handover: true },
       { heardAt: NOW },
       VOTE_OUTCOMES.GRANTED,
     ],
-    ["a lost disk", { toIncarnation: "x" }, {}, VOTE_OUTCOMES.STRANGER],
+    [
+      "an earlier incarnation, before its disk was lost",
+      { toIncarnation: "x" },
+      {},
+      VOTE_OUTCOMES.WRONG_INCARNATION,
+    ],
   ];
 
-test("a vote goes to whom it may", (t) => {
+test("a voter grants or refuses a vote by term, log, lease and incarnation", (t) => {
   for (const [name, request, voter, outcome] of CASES) {
-    const judged = judgeVote(
+    const decision = judgeVote(
       { ...REQUEST, ...request },
       { ...VOTER, ...voter },
       NOW,
     );
-    t.equal(judged, outcome, name);
+    t.equal(decision, outcome, name);
   }
   t.end();
 });
--- a/packages/consensus/src/group/keep_members.ts
+++ b/packages/consensus/src/group/keep_members.ts
@@ -1,4 +1,7 @@
-/** Task of a group that promotes and replaces members while its replica leads. */
+/**
+ * Background task that promotes and replaces members of a group while this
+ * replica leads it.
+ */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -10,14 +13,17 @@
 import type { ReplicaSource } from "../founding/replica_source.ts";
 import type { GroupTiming } from "./group_options.ts";
 import { isSameReplica } from "./membership.ts";
-import { type MemberHealth, planMembers } from "./membership_keeper.ts";
+import {
+  type MemberHealth,
+  planMembershipChange,
+} from "./membership_keeper.ts";
 import type { ReplicatedGroup } from "./replicated_group.ts";
 
-/** Time between two looks at the members, ms. */
-export const KEEP_MILLISECONDS = 300;
+/** Time between two checks of the membership, ms. */
+export const MEMBERSHIP_CHECK_MILLISECONDS = 300;
 
-/** What the task works with. */
-export interface KeepMembersParts {
+/** Dependencies of {@linkcode keepMembers}. */
+export interface MaintainMembersParts {
   readonly identity: ReplicaIdentity;
   readonly replicas: ReplicaSource;
   readonly timing: GroupTiming;
@@ -25,30 +31,30 @@
   readonly signal: AbortSignal;
 }
 
-/** Keeps the members of a group until the signal aborts. */
+/** Plans and carries out membership changes until the signal aborts. */
 export async function keepMembers(
   group: ReplicatedGroup,
-  parts: KeepMembersParts,
+  parts: MaintainMembersParts,
 ): Promise<void> {
   const { timing, replicas, logger, signal } = parts;
   while (!signal.aborted) {
-    await sleep(KEEP_MILLISECONDS, signal);
+    await sleep(MEMBERSHIP_CHECK_MILLISECONDS, signal);
     if (!group.isLeading) continue;
     const retiring = replicas.listRetiring();
     const health = describeHealth(group, parts.identity);
-    const planned = planMembers(health, {
+    const newMembers = planMembershipChange(health, {
       voterCount: replicas.voterCount,
       standbyMilliseconds: timing.standbyMilliseconds,
-      freshMilliseconds: 2 * timing.electionMilliseconds,
+      learnerSilenceMilliseconds: 2 * timing.electionMilliseconds,
       retiring,
     });
-    if (planned === undefined) {
-      if (isLeaderToLeave(health, { retiring, replicas })) {
+    if (newMembers === undefined) {
+      if (mustHandOver(health, { retiring, replicas })) {
         await group.handOver();
       }
       continue;
     }
-    await group.changeMembers(planned);
+    await group.changeMembers(newMembers);
     logger.info("Members changed", { group: group.group });
   }
 }
@@ -60,20 +66,30 @@
   const now = performance.now();
   const lag = group.leadership?.describeLag(now) ?? [];
   return group.membership.members.map((member) => {
-    const self = isSameReplica(member, identity);
-    const known = lag.find((peer) => peer.replicaId === member.replicaId);
+    const isSelf = isSameReplica(member, identity);
+    const memberLag = lag.find((peer) => peer.replicaId === member.replicaId);
     return {
       member,
-      self,
-      // What is caught up by chance on an idle site gets no vote either.
-      lag: self ? 0 : known?.isFed === true ? known.entries : Infinity,
-      silentMilliseconds: self ? 0 : known?.silentMilliseconds ?? Infinity,
+      isSelf,
+      // A cold spare receives no entries, so it is never promoted, even if it
+      // happens to lack none on an idle site.
+      lag: isSelf
+        ? 0
+        : memberLag?.isFed === true
+        ? memberLag.entries
+        : Infinity,
+      silentMilliseconds: isSelf
+        ? 0
+        : memberLag?.silentMilliseconds ?? Infinity,
     };
   });
 }
 
-/** True if this leader is the last one that keeps a retirement from its end. */
-function isLeaderToLeave(
+/**
+ * True if this leader is to retire and its replacement already votes: the next
+ * leader can then remove this replica.
+ */
+function mustHandOver(
   health: readonly MemberHealth[],
   options: {
     readonly retiring: ReadonlySet<string>;
@@ -83,7 +99,7 @@
   const voters = health.filter(({ member }) =>
     member.role === MEMBER_ROLES.VOTER
   );
-  const self = voters.find((known) => known.self);
+  const self = voters.find((state) => state.isSelf);
   return self !== undefined &&
     options.retiring.has(self.member.incarnation) &&
     voters.length > options.replicas.voterCount;
--- a/packages/consensus/src/group/membership.ts
+++ b/packages/consensus/src/group/membership.ts
@@ -1,4 +1,4 @@
-/** Who belongs to a group, at each point of its log. */
+/** Members of a group at each index of its log. */
 
 import { decode, encode } from "cbor-x";
 import type { Buffer } from "node:buffer";
@@ -8,20 +8,23 @@
   type ReplicaIdentity,
 } from "@mallowlift/core";
 
-interface MembershipAt {
+interface MembershipVersion {
   readonly index: number;
   readonly members: readonly Member[];
 }
 
-/** The members of a group; a change counts as soon as it is in the log. */
+/**
+ * Members of a group. A change takes effect when it is appended, before it is
+ * committed.
+ */
 export class Membership {
-  #history: MembershipAt[];
+  #history: MembershipVersion[];
 
   constructor(index: number, members: readonly Member[]) {
     this.#history = [{ index, members }];
   }
 
-  /** Members by the newest entry in the log. */
+  /** Members as of the newest membership entry in the log. */
   get members(): readonly Member[] {
     return this.#history.at(-1)?.members ?? [];
   }
@@ -41,26 +44,29 @@
     return Math.floor(this.voters.length / 2) + 1;
   }
 
-  /** Members as of an index. */
-  findAt(index: number): readonly Member[] {
-    for (const known of this.#history.toReversed()) {
-      if (known.index <= index) return known.members;
+  /** Returns the members as of a log index. */
+  findAtIndex(index: number): readonly Member[] {
+    for (const version of this.#history.toReversed()) {
+      if (version.index <= index) return version.members;
     }
     return [];
   }
 
-  /** Takes over the members of a new entry. */
+  /** Records the members of a new membership entry. */
   append(index: number, members: readonly Member[]): void {
     this.#history.push({ index, members });
   }
 
-  /** Forgets entries that were removed from the log. */
+  /**
+   * Forgets the membership entries from an index on; the log was truncated
+   * there.
+   */
   truncateFrom(index: number): void {
-    const kept = this.#history.filter((known) => known.index < index);
+    const kept = this.#history.filter((version) => version.index < index);
     if (kept.length > 0) this.#history = kept;
   }
 
-  /** Starts again from a snapshot. */
+  /** Replaces the history by the members of a snapshot. */
   reset(index: number, members: readonly Member[]): void {
     this.#history = [{ index, members }];
   }
@@ -70,13 +76,13 @@
     return this.members.find((member) => isSameReplica(member, identity));
   }
 
-  /** True if this identity votes. */
+  /** True if the member with this identity is a voter. */
   isVoter(identity: ReplicaIdentity): boolean {
     return this.find(identity)?.role === MEMBER_ROLES.VOTER;
   }
 }
 
-/** True if both id and incarnation are the same. */
+/** True if replica id and incarnation are equal. */
 export function isSameReplica(
   left: ReplicaIdentity,
   right: ReplicaIdentity,
@@ -85,12 +91,12 @@
     left.incarnation === right.incarnation;
 }
 
-/** Encodes members for a membership entry. */
+/** Encodes members as the payload of a membership entry. */
 export function encodeMembers(members: readonly Member[]): Buffer {
   return encode(members);
 }
 
-/** Decodes the members of a membership entry. */
+/** Decodes the members from the payload of a membership entry. */
 export function decodeMembers(payload: Uint8Array): readonly Member[] {
   return decode(payload) as readonly Member[];
 }
--- a/packages/consensus/src/group/membership_keeper.ts
+++ b/packages/consensus/src/group/membership_keeper.ts
@@ -1,75 +1,93 @@
-/** Decides the next membership change of a group that this replica leads. */
+/**
+ * Plans the next membership change of a group: promotions, replacements and
+ * removals.
+ */
 
 import { type Member, MEMBER_ROLES } from "@mallowlift/core";
-import { findLonely } from "./failure_domains.ts";
+import { findInEmptiestDomain } from "./failure_domains.ts";
 
-const CAUGHT_UP_ENTRIES = 64;
+/** Largest lag at which a member counts as caught up, entries. */
+const MAX_CAUGHT_UP_LAG_ENTRIES = 64;
 
-/** What the keeper knows of one member. */
+/** State of one member as the leader sees it. */
 export interface MemberHealth {
   readonly member: Member;
-  readonly self: boolean;
-  /** Entries that it lacks. */
+  /** True for the leader itself. */
+  readonly isSelf: boolean;
+  /** Entries that it lacks; Infinity if it receives none. */
   readonly lag: number;
+  /** Time since its last reply, ms. */
   readonly silentMilliseconds: number;
 }
 
-/** Limits that the keeper works by. */
-export interface KeeperLimits {
+/** Limits for membership changes. */
+export interface MembershipLimits {
+  /** Voters that the group should have. */
   readonly voterCount: number;
-  /** Silence after which a voter is given up. */
+  /** Silence after which a voter is replaced, ms. */
   readonly standbyMilliseconds: number;
-  /** Silence after which a learner is not promoted. */
-  readonly freshMilliseconds: number;
-  /** Incarnations of members that are to leave for good. */
+  /** Longest silence at which a member may be promoted, ms. */
+  readonly learnerSilenceMilliseconds: number;
+  /** Incarnations of members that are being retired. */
   readonly retiring?: ReadonlySet<string>;
 }
 
 /**
- * Returns the members after the next change, or undefined if none is due.
- * Changes one voter at most. A lost voter leaves only after a standby has
- * joined, so that the group never has fewer voters than it could.
+ * Returns the members after the next change, or undefined if none is due. A
+ * change adds or removes one voter at most. A lost or retiring voter is removed
+ * only after a replacement has been promoted, so that the group keeps its
+ * number of voters.
  *
  * @example
  * ```ts
- * planMembers([{ member, self: true, lag: 0, silentMilliseconds: 0 }], limits);
+ * const self = { member, isSelf: true, lag: 0, silentMilliseconds: 0 };
+ * planMembershipChange([self], limits); // undefined if no change is due
  * ```
  */
-export function planMembers(
+export function planMembershipChange(
   health: readonly MemberHealth[],
-  limits: KeeperLimits,
+  limits: MembershipLimits,
 ): readonly Member[] | undefined {
-  const members = health.map((known) => known.member);
-  const voters = health.filter((known) =>
-    known.member.role === MEMBER_ROLES.VOTER
+  const members = health.map((state) => state.member);
+  const voters = health.filter((state) =>
+    state.member.role === MEMBER_ROLES.VOTER
   );
-  const isRetiring = (known: MemberHealth) =>
-    limits.retiring?.has(known.member.incarnation) === true;
-  const idle = health.find((known) =>
-    known.member.role !== MEMBER_ROLES.VOTER && isRetiring(known)
+  const isRetiring = (state: MemberHealth) =>
+    limits.retiring?.has(state.member.incarnation) === true;
+  const retiringLearner = health.find((state) =>
+    state.member.role !== MEMBER_ROLES.VOTER && isRetiring(state)
   );
-  if (idle !== undefined) {
-    return members.filter((member) => member !== idle.member);
+  if (retiringLearner !== undefined) {
+    return members.filter((member) => member !== retiringLearner.member);
   }
-  const silent =
-    voters.find((known) =>
-      !known.self && known.silentMilliseconds > limits.standbyMilliseconds
+  const leavingVoter =
+    voters.find((state) =>
+      !state.isSelf && state.silentMilliseconds > limits.standbyMilliseconds
     ) ?? voters.find(isRetiring);
   if (voters.length > limits.voterCount) {
-    // A leader that retires hands over first; the next one lets it go.
-    if (silent === undefined || silent.self) return undefined;
-    return members.filter((member) => member !== silent.member);
+    // A retiring leader hands over first; the next leader removes it.
+    if (leavingVoter === undefined || leavingVoter.isSelf) return undefined;
+    return members.filter((member) => member !== leavingVoter.member);
   }
-  const isWanted = voters.length < limits.voterCount || silent !== undefined;
-  if (!isWanted) return undefined;
-  const candidates = listReady(health, limits);
+  const needsVoter = voters.length < limits.voterCount ||
+    leavingVoter !== undefined;
+  if (!needsVoter) return undefined;
+  const candidates = listPromotable(health, limits);
   if (candidates.length === 0) return undefined;
-  const staying = voters.filter((known) => known !== silent);
-  const ready = findLonely(candidates, staying.map((known) => known.member));
-  return members.map((member) => member === ready ? promote(member) : member);
+  const remaining = voters.filter((state) => state !== leavingVoter);
+  const promoted = findInEmptiestDomain(
+    candidates,
+    remaining.map((state) => state.member),
+  );
+  return members.map((member) =>
+    member === promoted ? promote(member) : member
+  );
 }
 
-/** Returns the members once a replica with a new incarnation has joined. */
+/**
+ * Returns the members with a joining replica, which replaces an earlier
+ * incarnation of itself.
+ */
 export function addLearner(
   members: readonly Member[],
   joining: Member,
@@ -80,19 +98,22 @@
   return [...others, joining];
 }
 
-/** Members without a vote that could take one at once. */
-function listReady(
+/**
+ * Lists the members without a vote that are caught up, in contact and not
+ * retiring.
+ */
+function listPromotable(
   health: readonly MemberHealth[],
-  limits: KeeperLimits,
+  limits: MembershipLimits,
 ): readonly Member[] {
-  const ready: Member[] = [];
-  for (const known of health) {
-    if (known.member.role === MEMBER_ROLES.VOTER) continue;
-    if (known.silentMilliseconds > limits.freshMilliseconds) continue;
-    if (limits.retiring?.has(known.member.incarnation)) continue;
-    if (known.lag <= CAUGHT_UP_ENTRIES) ready.push(known.member);
+  const promotable: Member[] = [];
+  for (const state of health) {
+    if (state.member.role === MEMBER_ROLES.VOTER) continue;
+    if (state.silentMilliseconds > limits.learnerSilenceMilliseconds) continue;
+    if (limits.retiring?.has(state.member.incarnation)) continue;
+    if (state.lag <= MAX_CAUGHT_UP_LAG_ENTRIES) promotable.push(state.member);
   }
-  return ready;
+  return promotable;
 }
 
 function promote(member: Member): Member {
--- a/packages/consensus/src/group/membership_keeper_test.ts
+++ b/packages/consensus/src/group/membership_keeper_test.ts
@@ -4,14 +4,14 @@
 import {
   addLearner,
   type MemberHealth,
-  planMembers,
+  planMembershipChange,
 } from "./membership_keeper.ts";
 
 const SEED = 1;
 const LIMITS = {
   voterCount: 3,
   standbyMilliseconds: 1_000,
-  freshMilliseconds: 200,
+  learnerSilenceMilliseconds: 200,
 };
 
 const role = fc.constantFrom(...Object.values(MEMBER_ROLES));
@@ -27,7 +27,7 @@
       address: "",
       failureDomain: "",
     },
-    self: number === 0,
+    isSelf: number === 0,
     lag: row.lag,
     silentMilliseconds: row.silentMilliseconds,
   }))
@@ -40,9 +40,9 @@
 
 test("each change adds or removes one voter at most, and never the leader", (t) => {
   fc.assert(
-    fc.property(health, (known) => {
-      const before = listVoters(known.map((row) => row.member));
-      const planned = planMembers(known, LIMITS);
+    fc.property(health, (states) => {
+      const before = listVoters(states.map((row) => row.member));
+      const planned = planMembershipChange(states, LIMITS);
       if (planned === undefined) return;
       const after = listVoters(planned);
       const added = after.filter((id) => !before.includes(id));
@@ -69,12 +69,12 @@
       address: "",
       failureDomain: replicaId.slice(0, 1),
     },
-    self: replicaId === "a1",
+    isSelf: replicaId === "a1",
     lag: 0,
     silentMilliseconds,
   });
   const { VOTER, LEARNER } = MEMBER_ROLES;
-  const planned = planMembers([
+  const planned = planMembershipChange([
     row("a1", VOTER),
     row("b1", VOTER),
     row("c1", VOTER, 5_000),
@@ -86,11 +86,11 @@
   t.end();
 });
 
-test("a member that lacks entries is never promoted", (t) => {
+test("a member that lags behind or is silent is never promoted", (t) => {
   fc.assert(
-    fc.property(health, (known) => {
-      const planned = planMembers(known, LIMITS) ?? [];
-      for (const row of known) {
+    fc.property(health, (states) => {
+      const planned = planMembershipChange(states, LIMITS) ?? [];
+      for (const row of states) {
         const wasVoter = row.member.role === MEMBER_ROLES.VOTER;
         const isVoter = listVoters(planned).includes(row.member.replicaId);
         if (!wasVoter && isVoter) {
@@ -103,7 +103,7 @@
   t.end();
 });
 
-test("a new incarnation takes the place of the old one and does not vote", (t) => {
+test("a new incarnation replaces the old one and has no vote", (t) => {
   const old = {
     replicaId: "r1",
     incarnation: "a",
@@ -116,8 +116,8 @@
   t.end();
 });
 
-test("a retiring voter leaves once another has taken its place, and never before", (t) => {
-  const create = (replicaId: string, self: boolean): MemberHealth => ({
+test("a retiring voter is removed only after a replacement has been promoted", (t) => {
+  const create = (replicaId: string, isSelf: boolean): MemberHealth => ({
     member: {
       replicaId,
       incarnation: `i-${replicaId}`,
@@ -125,27 +125,36 @@
       address: "",
       failureDomain: "",
     },
-    self,
+    isSelf,
     lag: 0,
     silentMilliseconds: 0,
   });
   const limits = { ...LIMITS, retiring: new Set(["i-r2"]) };
-  const three = [create("r0", true), create("r1", false), create("r2", false)];
-  t.equal(planMembers(three, limits), undefined, "nobody could replace it");
+  const threeVoters = [
+    create("r0", true),
+    create("r1", false),
+    create("r2", false),
+  ];
+  t.equal(
+    planMembershipChange(threeVoters, limits),
+    undefined,
+    "no replacement available",
+  );
   const learner = create("r3", false);
-  const withLearner = [...three, {
+  const withLearner = [...threeVoters, {
     ...learner,
     member: { ...learner.member, role: MEMBER_ROLES.LEARNER },
   }];
-  const promoted = planMembers(withLearner, limits) ?? [];
+  const promoted = planMembershipChange(withLearner, limits) ?? [];
   t.same(listVoters(promoted), ["r0", "r1", "r2", "r3"]);
-  const left = planMembers([...three, learner], limits) ?? [];
-  t.same(listVoters(left), ["r0", "r1", "r3"]);
+  const afterRemoval =
+    planMembershipChange([...threeVoters, learner], limits) ?? [];
+  t.same(listVoters(afterRemoval), ["r0", "r1", "r3"]);
   const ownRetirement = { ...LIMITS, retiring: new Set(["i-r0"]) };
   t.equal(
-    planMembers([...three, learner], ownRetirement),
+    planMembershipChange([...threeVoters, learner], ownRetirement),
     undefined,
-    "a leader hands over before it leaves",
+    "a retiring leader is not removed before it hands over",
   );
   t.end();
 });
