--- a/packages/consensus/src/group/elections.ts
+++ b/packages/consensus/src/group/elections.ts
@@ -5,7 +5,11 @@
 
 import { performance } from "node:perf_hooks";
 import { sleep } from "@mallowlift/core";
-import { type Ballot, type ElectionResult, requestVotes } from "./election.ts";
+import {
+  type Ballot,
+  type ElectionResult,
+  requestVotes,
+} from "./request_votes.ts";
 import type { EntryStore } from "./entry_store.ts";
 import type { GroupOptions } from "./group_options.ts";
 import type { GroupReport } from "./group_report.ts";
