--- a/packages/store/src/follow_owner.ts
+++ b/packages/store/src/follow_owner.ts
@@ -13,7 +13,7 @@
 import type { SiteState } from "@mallowlift/sessions";
 import { Ok } from "ts-results";
 import type { InstanceReader } from "./instance_reader.ts";
-import { FullListLimiter } from "./whole_lists.ts";
+import { FullListLimiter } from "./full_list_limiter.ts";
 
 /** Interval at which a deferred gateway checks whether it may get the full list. */
 const FULL_LIST_POLL_MILLISECONDS = 20;
