--- a/packages/sessions/src/packed_document.ts
+++ b/packages/sessions/src/packed_document.ts
@@ -29,7 +29,7 @@
   encodePrefixed,
   PrefixedReader,
   splitBatches,
-} from "./sized_values.ts";
+} from "./length_prefixed.ts";
 
 const compress = promisify<Uint8Array, ZlibOptions, Buffer>(deflateRaw);
 const decompress = promisify<Uint8Array, Buffer>(inflateRaw);
--- a/packages/sessions/src/site_snapshot.ts
+++ b/packages/sessions/src/site_snapshot.ts
@@ -20,7 +20,7 @@
   MARK_BIT,
   PrefixedReader,
   splitBatches,
-} from "./sized_values.ts";
+} from "./length_prefixed.ts";
 import type { StoredTurn } from "./turn_tree.ts";
 
 /**
