--- a/packages/sessions/src/document_uploads.ts
+++ b/packages/sessions/src/document_uploads.ts
@@ -9,7 +9,7 @@
 import type { PackedDocument, PutDocumentPart } from "@mallowlift/core";
 
 /**
- * Total bytes of unfinished uploads; the upload that is growing is kept in any
+ * Maximum bytes of all unfinished uploads; the growing one is kept in any
  * case. Equals the largest document that the settings allow by default.
  */
 const MAX_BYTES = 16_777_216;
--- a/packages/sessions/src/instance_updates.ts
+++ b/packages/sessions/src/instance_updates.ts
@@ -19,7 +19,7 @@
  *
  * @example
  * ```ts
- * const update = findUpdate({ revision: "2", instances }, undefined);
+ * const update = createUpdate({ revision: "2", instances }, undefined);
  * applyUpdate(new Map(), update); // the instances by their ids
  * ```
  */
--- a/packages/sessions/src/length_prefixed.ts
+++ b/packages/sessions/src/length_prefixed.ts
@@ -38,8 +38,8 @@
  *
  * @example
  * ```ts
- * const reader = new SizedReader(encodeSized({ a: 1 }));
- * reader.takeValue(); // { a: 1 }
+ * const reader = new PrefixedReader(encodePrefixed({ a: 1 }));
+ * reader.readValue(); // { a: 1 }
  * ```
  */
 export class PrefixedReader {
--- a/packages/sessions/src/site_state_test.ts
+++ b/packages/sessions/src/site_state_test.ts
@@ -130,7 +130,7 @@
 test("a part that would change nothing is redundant", async (t) => {
   const state = new SiteState();
   const packed = await pack(2, "two");
-  const isDecided = (offset: number, version = 2) =>
+  const isRedundant = (offset: number, version = 2) =>
     state.isRedundant({
       kind: "documentPart",
       version,
@@ -141,16 +141,16 @@
       part: packed.bytes.subarray(offset, offset + PART_BYTES),
     });
   putParts(state, packed, { until: 20 });
-  t.same([0, 10, 20, 30].map((offset) => isDecided(offset)), [
+  t.same([0, 10, 20, 30].map((offset) => isRedundant(offset)), [
     true,
     true,
     false,
     true,
   ]);
   putParts(state, packed, { from: 20 });
-  t.ok(isDecided(0), "a complete document again");
-  t.ok(isDecided(0, 1), "an earlier version");
-  t.notOk(isDecided(0, 3), "a later version");
+  t.ok(isRedundant(0), "a complete document again");
+  t.ok(isRedundant(0, 1), "an earlier version");
+  t.notOk(isRedundant(0, 3), "a later version");
 });
 
 test("unfinished uploads are bounded, and the lowest versions are evicted first", async (t) => {
--- a/packages/store/src/fair_shares.ts
+++ b/packages/store/src/fair_shares.ts
@@ -36,7 +36,7 @@
  * @example
  * ```ts
  * const shares = new FairShares();
- * shares.tryTake({ workspace: "north", weight: 10 }, 0.8, now); // true at first
+ * shares.tryAdmit({ workspace: "north", weight: 10 }, 0.8, now); // true at first
  * ```
  */
 export class FairShares {
--- a/packages/store/src/full_list_limiter.ts
+++ b/packages/store/src/full_list_limiter.ts
@@ -12,7 +12,7 @@
  *
  * @example
  * ```ts
- * const limiter = new WholeLists();
+ * const limiter = new FullListLimiter();
  * limiter.release("gateway-1");
  * if (limiter.tryAcquire("gateway-1", now)) sendFullList();
  * ```
