--- a/packages/gateway/src/site/document_confirmations.ts
+++ b/packages/gateway/src/site/document_confirmations.ts
@@ -15,7 +15,7 @@
  * @example
  * ```ts
  * const confirmations = new DocumentConfirmations();
- * confirmations.note(3, 1_000);
+ * confirmations.record(3, 1_000);
  * confirmations.findAge(2, 1_400); // Infinity: version 3 is not in force yet
  * confirmations.findAge(3, 1_400); // 400
  * ```
--- a/packages/gateway/src/site/document_follower_test.ts
+++ b/packages/gateway/src/site/document_follower_test.ts
@@ -46,9 +46,9 @@
 }
 
 test("an announced document is read and put in force", async (t) => {
-  const asked: number[] = [];
+  const requestedVersions: number[] = [];
   const follower = createFollower(({ version }) => {
-    asked.push(version);
+    requestedVersions.push(version);
     return createWholePart(version);
   });
   t.notOk(follower.isNewest, "no document is in force yet");
@@ -60,7 +60,7 @@
   follower.announce(2);
   follower.announce(3);
   t.ok(follower.isNewest);
-  t.same(asked, [3], "a known version is not read again");
+  t.same(requestedVersions, [3], "a known version is not read again");
 });
 
 test("a version that is announced during a read is read afterwards", async (t) => {
