--- a/packages/consensus/src/group/leadership.ts
+++ b/packages/consensus/src/group/leadership.ts
@@ -1,4 +1,4 @@
-/** One term of leading a group: replication to each peer, and commitment. */
+/** Leads a group for one term: replicates to every peer and commits entries. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -20,77 +20,79 @@
 import {
   type LeadershipView,
   PeerReplication,
-  type ReplicationParts,
+  type ReplicationContext,
 } from "./peer_replication.ts";
 
-/** What a leadership uses of its group. */
-export interface LeadershipParts {
+/** State and callbacks of the group that a leadership uses. */
+export interface LeadershipContext {
   readonly term: number;
   readonly options: GroupOptions;
   readonly log: GroupLog;
   readonly membership: Membership;
-  /** Last own entry that is synced. */
+  /** Returns the index of the last entry that is synced to the leader's disk. */
   getSyncedIndex(): number;
   getCommitIndex(): number;
-  /** A quorum holds everything up to this index. */
+  /** Called when a quorum has all entries up to this index on disk. */
   onCommit(index: number): void;
-  /** A peer knows a later term. */
+  /** Called when a peer reports a later term. */
   onHigherTerm(term: number): void;
 }
 
-/** Replicates the log for as long as the replica leads. */
+/** Replicates the log until the leadership ends. */
 export class Leadership implements LeadershipView {
   readonly term: number;
   readonly startedAt: number = performance.now();
-  readonly #parts: LeadershipParts;
+  readonly #context: LeadershipContext;
   #peers: readonly PeerProgress[] = [];
+  /** Wakes the tasks of members that receive entries. */
   readonly #work = new WakeSignal();
+  /** Wakes callers that wait for a quorum of replies. */
   readonly #acked = new WakeSignal();
-  /** Wakes the tasks of members that get no entries. */
+  /** Wakes the tasks of cold spares, which receive no entries. */
   readonly #changed = new WakeSignal();
-  readonly #replication: ReplicationParts;
-  #confirmAt = -Infinity;
-  #over = false;
+  readonly #replication: ReplicationContext;
+  #confirmSince = -Infinity;
+  #isOver = false;
 
-  constructor(parts: LeadershipParts) {
-    this.#parts = parts;
-    this.term = parts.term;
+  constructor(context: LeadershipContext) {
+    this.#context = context;
+    this.term = context.term;
     this.#replication = {
       leadership: this,
-      options: parts.options,
-      log: parts.log,
+      options: context.options,
+      log: context.log,
       work: this.#work,
       changed: this.#changed,
       acked: this.#acked,
-      // Several at once would each take several times as long, and the entries
-      // of the others wait behind them.
-      snapshots: new TurnQueue(),
-      getCommitIndex: () => parts.getCommitIndex(),
-      onHigherTerm: (term) => parts.onHigherTerm(term),
+      // Snapshots that are sent at the same time share the bandwidth: each takes
+      // several times as long and delays the entries for the other members.
+      snapshotQueue: new TurnQueue(),
+      getCommitIndex: () => context.getCommitIndex(),
+      onHigherTerm: (term) => context.onHigherTerm(term),
     };
   }
 
   /** True once the leadership has ended. */
   get isOver(): boolean {
-    return this.#over;
+    return this.#isOver;
   }
 
-  /** Ends the leadership and its tasks. */
+  /** Ends the leadership and stops its tasks. */
   end(): void {
-    this.#over = true;
+    this.#isOver = true;
     this.#work.wake();
     this.#acked.wake();
     this.#changed.wake();
   }
 
-  /** Starts and ends replication as the membership asks. */
-  followMembership(now: number): void {
-    const { options, membership, log } = this.#parts;
+  /** Starts replication to new members and stops it to removed ones. */
+  updatePeers(now: number): void {
+    const { options, membership, log } = this.#context;
     for (const peer of this.#peers) {
       if (membership.find(peer.member) === undefined) peer.removed = true;
     }
-    // The task of a removed peer has ended: if the member comes back, it needs
-    // another one.
+    // The task of a removed peer ends, so a member that is added again needs a
+    // new peer with a new task.
     this.#peers = this.#peers.filter((peer) => !peer.removed);
     for (const member of membership.members) {
       if (isSameReplica(member, options.identity)) continue;
@@ -106,33 +108,34 @@
       this.#peers = [...this.#peers, peer];
       void new PeerReplication(peer, this.#replication).run();
     }
-    // A repair does not wait for the next look.
+    // While voters are missing, replacements are chosen at once instead of at the
+    // next periodic check.
     if (this.isShortOfVoters) this.chooseWarmSpares(now);
     this.#work.wake();
     this.#changed.wake();
   }
 
-  /** When a quorum was last asked to confirm the leadership. */
-  get confirmAt(): number {
-    return this.#confirmAt;
+  /** When confirmation of the leadership by a quorum was last requested. */
+  get confirmSince(): number {
+    return this.#confirmSince;
   }
 
-  /** True while the group has fewer voters than it should. */
+  /** True while the group has fewer voters than configured. */
   get isShortOfVoters(): boolean {
-    const { membership, options } = this.#parts;
+    const { membership, options } = this.#context;
     return membership.voters.length < options.voterCount;
   }
 
-  /** Chooses which members without a vote get entries; called now and then. */
+  /** Chooses which members without a vote receive entries; called periodically. */
   chooseWarmSpares(now: number): void {
-    const { membership, options } = this.#parts;
+    const { membership, options } = this.#context;
     const spares = this.#peers.filter((peer) => !isVoter(peer));
     const warm = chooseWarmSpares(
       spares.map((peer) => ({
         member: peer.member,
         isWarm: peer.isWarm,
         lastIndex: peer.reportedIndex,
-        silentMilliseconds: now - peer.heardAt,
+        silentMilliseconds: now - peer.lastReplyAt,
       })),
       {
         voterCount: options.voterCount,
@@ -150,56 +153,59 @@
         member: peer.member.replicaId,
         failure_domain: peer.member.failureDomain,
         reported_index: peer.reportedIndex,
-        silent_ms: Math.round(now - peer.heardAt),
+        silent_ms: Math.round(now - peer.lastReplyAt),
       });
       this.#changed.wake();
     }
   }
 
-  /** Returns the progress of a member. */
+  /** Returns the replication progress of a member. */
   findPeer(member: Member): PeerProgress | undefined {
     return this.#peers.find((peer) => isSameReplica(peer.member, member));
   }
 
-  /** Tells the replication tasks that there are new entries. */
+  /** Wakes the replication tasks after entries were appended. */
   wake(): void {
     this.#work.wake();
   }
 
-  /** Commits what a quorum of voters has on disk. */
+  /** Commits the entries that a quorum of voters has on disk. */
   advanceCommit(): void {
-    if (this.#over) return;
-    const { membership, log, options } = this.#parts;
+    if (this.#isOver) return;
+    const { membership, log, options } = this.#context;
     const indexes: number[] = [];
     for (const voter of membership.voters) {
       if (isSameReplica(voter, options.identity)) {
-        indexes.push(this.#parts.getSyncedIndex());
+        indexes.push(this.#context.getSyncedIndex());
       } else indexes.push(this.findPeer(voter)?.matchIndex ?? 0);
     }
     indexes.sort((left, right) => right - left);
     const index = indexes[membership.quorum - 1] ?? 0;
-    if (index <= this.#parts.getCommitIndex()) return;
-    // Only entries of the own term commit by counting; earlier ones come with them.
+    if (index <= this.#context.getCommitIndex()) return;
+    // Only entries of the current term are committed by counting replicas; they
+    // commit all earlier entries with them.
     if (log.findTerm(index) !== this.term) return;
-    this.#parts.onCommit(index);
+    this.#context.onCommit(index);
     this.#work.wake();
   }
 
   /**
-   * Resolves when a quorum has answered a request sent after this call, so
-   * that no later leader can have committed anything before it.
+   * Resolves when a quorum has answered requests that were sent after this call:
+   * no later leader can have committed anything before the call.
    */
-  async confirm(limitMilliseconds: number): Promise<Outcome<void>> {
-    const askedAt = performance.now();
-    this.#confirmAt = Math.max(this.#confirmAt, askedAt);
+  async confirm(timeoutMilliseconds: number): Promise<Outcome<void>> {
+    const requestedAt = performance.now();
+    this.#confirmSince = Math.max(this.#confirmSince, requestedAt);
     this.#work.wake();
-    while (!this.#over) {
-      if (this.countAckedSince(askedAt) >= this.#parts.membership.quorum) {
+    while (!this.#isOver) {
+      if (
+        this.countAckedSince(requestedAt) >= this.#context.membership.quorum
+      ) {
         return Ok(undefined);
       }
-      const left = askedAt + limitMilliseconds - performance.now();
-      if (left <= 0) break;
-      await this.#acked.wait(left);
+      const remaining = requestedAt + timeoutMilliseconds - performance.now();
+      if (remaining <= 0) break;
+      await this.#acked.wait(remaining);
     }
     return fail(
       RESULT_CODES.NOT_LEADER,
@@ -207,66 +213,70 @@
     );
   }
 
-  /** Counts the voters, with this replica, that answered a request sent since. */
+  /** Counts this replica and the voters that answered a request sent at or after a time. */
   countAckedSince(since: number): number {
-    const { membership, options } = this.#parts;
+    const { membership, options } = this.#context;
     let count = 0;
     for (const voter of membership.voters) {
       const own = isSameReplica(voter, options.identity);
-      const ackedSentAt = this.findPeer(voter)?.ackedSentAt ?? -Infinity;
+      const ackedSentAt = this.findPeer(voter)?.lastAckedSentAt ?? -Infinity;
       if (own || ackedSentAt >= since) count++;
     }
     return count;
   }
 
   /**
-   * When a request was sent that a quorum has answered: no later leader had
-   * been elected then, so what this leader had applied was the newest.
+   * Returns the latest time such that a quorum has answered requests sent then
+   * or later; -Infinity if there is none. No later leader had been elected at
+   * that time, so the state of this leader was current.
    */
   findConfirmedAt(now: number): number {
-    const { membership, options } = this.#parts;
+    const { membership, options } = this.#context;
     const times = membership.voters.map((voter) =>
       isSameReplica(voter, options.identity)
         ? now
-        : this.findPeer(voter)?.ackedSentAt ?? -Infinity
+        : this.findPeer(voter)?.lastAckedSentAt ?? -Infinity
     );
     times.sort((left, right) => right - left);
     return times[membership.quorum - 1] ?? -Infinity;
   }
 
-  /** How far each member is behind. */
+  /** Returns the replication lag of each member. */
   describeLag(now: number): readonly MemberLag[] {
     const lag: MemberLag[] = [];
     for (const peer of this.#peers) {
       lag.push({
         replicaId: peer.member.replicaId,
         isFed: !isCold(peer),
-        entries: this.#parts.log.lastIndex - peer.matchIndex,
-        silentMilliseconds: Math.round(now - peer.heardAt),
+        entries: this.#context.log.lastIndex - peer.matchIndex,
+        silentMilliseconds: Math.round(now - peer.lastReplyAt),
       });
     }
     return lag;
   }
 
-  /** Last entry that every member has that was heard lately. */
-  findWantedIndex(now: number): number {
-    const since = now - this.#parts.options.timing.standbyMilliseconds;
+  /**
+   * Returns the lowest match index of the members that receive entries and
+   * replied recently; Infinity if there are none.
+   */
+  findLowestMatchIndex(now: number): number {
+    const since = now - this.#context.options.timing.standbyMilliseconds;
     let index = Infinity;
     for (const peer of this.#peers) {
       if (isCold(peer)) continue;
-      if (peer.heardAt >= since) index = Math.min(index, peer.matchIndex);
+      if (peer.lastReplyAt >= since) index = Math.min(index, peer.matchIndex);
     }
     return index;
   }
 
-  /** Every other member as this leader sees it, for logs. */
-  viewMembers(now: number): readonly MemberView[] {
-    const { log, options } = this.#parts;
+  /** Returns the state of every other member for logs. */
+  listMemberViews(now: number): readonly MemberView[] {
+    const { log, options } = this.#context;
     return this.#peers.map((peer) => ({
       replicaId: peer.member.replicaId,
       role: peer.member.role,
       lag: log.lastIndex - peer.matchIndex,
-      silentMilliseconds: now - peer.heardAt,
+      silentMilliseconds: now - peer.lastReplyAt,
       unsentBytes: options.findPeer(peer.member).unsentBytes ?? 0,
     }));
   }
--- a/packages/consensus/src/group/peer_progress.ts
+++ b/packages/consensus/src/group/peer_progress.ts
@@ -1,4 +1,4 @@
-/** What a leader knows of one other member. */
+/** Replication state that a leader keeps for one other member. */
 
 import {
   type Member,
@@ -6,28 +6,28 @@
   MOST_MESSAGE_BYTES,
 } from "@mallowlift/core";
 
-/** Progress of one member, kept by the leader. */
+/** Replication progress of one member, kept by the leader. */
 export class PeerProgress {
   member: Member;
-  /** Next entry to send. */
+  /** Index of the next entry to send. */
   nextIndex: number;
-  /** Last entry known to be on the member's disk. */
+  /** Index of the last entry that is known to be on the member's disk. */
   matchIndex = 0;
-  /** Last entry that the member has told of, whether or not it is the leader's. */
+  /** Highest index that the member has reported; it may be unconfirmed. */
   reportedIndex = 0;
-  /** True if the member gets entries although it has no vote. */
+  /** True if the member receives entries although it has no vote. */
   isWarm = false;
-  /** When the newest request that was answered had been sent. */
-  ackedSentAt = -Infinity;
-  /** When a request was last sent. */
-  sentAt = -Infinity;
-  /** True while entries are on their way and not answered. */
+  /** When the latest answered request was sent. */
+  lastAckedSentAt = -Infinity;
+  /** When the latest request was sent. */
+  lastSentAt = -Infinity;
+  /** True while entries are in flight, or a snapshot is queued or in flight. */
   isBusy = false;
-  /** Bytes of entries that the next message may carry. */
+  /** Limit on the bytes of entries in the next message. */
   messageBytes = MOST_MESSAGE_BYTES;
-  /** When the member last answered. */
-  heardAt: number;
-  /** True once the member should get no more. */
+  /** When the latest reply arrived; initially the creation time. */
+  lastReplyAt: number;
+  /** True once the member is no longer in the group. */
   removed = false;
 
   constructor(
@@ -36,16 +36,16 @@
   ) {
     this.member = member;
     this.nextIndex = options.nextIndex;
-    this.heardAt = options.now;
+    this.lastReplyAt = options.now;
   }
 }
 
-/** True if the member votes. */
+/** Returns true if the member votes. */
 export function isVoter(peer: PeerProgress): boolean {
   return peer.member.role === MEMBER_ROLES.VOTER;
 }
 
-/** True for a spare that gets no entries. */
+/** Returns true for a spare that receives no entries. */
 export function isCold(peer: PeerProgress): boolean {
   return !isVoter(peer) && !peer.isWarm;
 }
--- a/packages/consensus/src/group/peer_replication.ts
+++ b/packages/consensus/src/group/peer_replication.ts
@@ -1,4 +1,4 @@
-/** Keeps one other member up to date for as long as a replica leads. */
+/** Replicates the leader's log to one other member until the leadership ends. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -22,160 +22,169 @@
 
 const RETRY_MILLISECONDS = 20;
 /**
- * Longest wait for the answer to entries, in election timeouts. Entries that
- * wait in a full link arrive all the same; sent again, they would fill it more.
- * A connection that broke ends the wait at once.
+ * Timeout of a request with entries, in election timeouts. Entries that are
+ * queued on a saturated connection still arrive, and sending them again would
+ * add to the queue. A broken connection ends the wait at once.
  */
 const APPEND_TIMEOUTS = 10;
-/** Heartbeats to a member that is busy with entries, in each election timeout. */
-const BUSY_HEARTBEATS = 2;
+/** Heartbeats per election timeout to a member with a request or snapshot in flight. */
+const BUSY_HEARTBEATS_PER_TIMEOUT = 2;
 
 /**
- * Entries without a quorum above which members without a vote wait: about what
- * a busy site proposes in a quarter of a second, so that the leader's way to
- * the voters is the narrow place.
+ * Uncommitted entries above which spares receive no entries, so that the voters
+ * get the leader's full bandwidth: about as many as a busy site proposes in a
+ * quarter of a second.
  */
-const YIELD_ENTRIES = 200;
+const MAX_BACKLOG_ENTRIES_FOR_SPARES = 200;
 
-/** What a task knows of the leadership that it belongs to. */
+/** The part of a leadership that its replication tasks use. */
 export interface LeadershipView {
   readonly term: number;
   readonly isOver: boolean;
-  /** Voters that were sent nothing since are to answer at once. */
-  readonly confirmAt: number;
-  /** True while the group has fewer voters than it should. */
+  /** Voters with no request sent after this time are sent a heartbeat at once. */
+  readonly confirmSince: number;
+  /** True while the group has fewer voters than configured. */
   readonly isShortOfVoters: boolean;
-  /** Commits what a quorum of voters has on disk. */
+  /** Commits the entries that a quorum of voters has on disk. */
   advanceCommit(): void;
 }
 
-/** What the tasks of all members share. */
-export interface ReplicationParts {
+/** State that the replication tasks of all members share. */
+export interface ReplicationContext {
   readonly leadership: LeadershipView;
   readonly options: GroupOptions;
   readonly log: GroupLog;
-  /** Wakes tasks when there are new entries. */
+  /** Wakes the tasks of members that receive entries. */
   readonly work: WakeSignal;
-  /** Wakes tasks of members that get no entries. */
+  /** Wakes the tasks of cold spares, which receive no entries. */
   readonly changed: WakeSignal;
-  /** Woken when a member has answered. */
+  /** Woken when a member has replied. */
   readonly acked: WakeSignal;
-  /** Snapshots are sent to one member after the other. */
-  readonly snapshots: TurnQueue;
+  /** Sends snapshots to one member at a time. */
+  readonly snapshotQueue: TurnQueue;
   readonly getCommitIndex: () => number;
-  /** A peer knows a later term. */
+  /** Called when a peer reports a later term. */
   readonly onHigherTerm: (term: number) => void;
 }
 
-interface Answer {
+interface TimedReply {
   readonly reply: AppendReply;
+  /** When the request was sent. */
   readonly sentAt: number;
 }
 
-/** The task of one member. */
+/** Replication task of one member. */
 export class PeerReplication {
   readonly #peer: PeerProgress;
   readonly #caller: Caller;
-  readonly #parts: ReplicationParts;
+  readonly #context: ReplicationContext;
 
-  constructor(peer: PeerProgress, parts: ReplicationParts) {
+  constructor(peer: PeerProgress, context: ReplicationContext) {
     this.#peer = peer;
-    this.#parts = parts;
-    this.#caller = parts.options.findPeer(peer.member);
+    this.#context = context;
+    this.#caller = context.options.findPeer(peer.member);
   }
 
-  /** Replicates until the leadership is over or the member is removed. */
+  /** Replicates until the leadership ends or the member is removed. */
   async run(): Promise<void> {
-    const { options, log } = this.#parts;
+    const { options, log } = this.#context;
     const peer = this.#peer;
-    const pause = options.timing.electionMilliseconds / BUSY_HEARTBEATS;
-    const beats = setInterval(() => void this.#beatIfBusy(pause), pause);
+    const interval = options.timing.electionMilliseconds /
+      BUSY_HEARTBEATS_PER_TIMEOUT;
+    const heartbeatTimer = setInterval(
+      () => void this.#sendHeartbeatIfBusy(interval),
+      interval,
+    );
     while (!this.#isOver) {
       await this.#waitForWork();
       if (this.#isOver) break;
-      if (!this.#isFed()) {
+      if (!this.#receivesEntries()) {
         await this.#sendHeartbeat();
       } else if (peer.nextIndex <= log.baseIndex) {
         await this.#sendSnapshot();
       } else await this.#sendEntries();
     }
-    clearInterval(beats);
+    clearInterval(heartbeatTimer);
   }
 
   get #isOver(): boolean {
-    return this.#parts.leadership.isOver || this.#peer.removed;
+    return this.#context.leadership.isOver || this.#peer.removed;
   }
 
-  /** A member that takes long over its entries must still hear its leader. */
-  async #beatIfBusy(pause: number): Promise<void> {
+  /**
+   * Sends a heartbeat beside a request that takes long, so that the member does
+   * not start an election.
+   */
+  async #sendHeartbeatIfBusy(interval: number): Promise<void> {
     if (this.#isOver || !this.#peer.isBusy) return;
-    if (performance.now() - this.#peer.sentAt < pause) return;
+    if (performance.now() - this.#peer.lastSentAt < interval) return;
     await this.#callHeartbeat();
   }
 
-  /** Tells a member that gets no entries for now that its leader is there. */
+  /** Sends a heartbeat to a member that receives no entries at present. */
   async #sendHeartbeat(): Promise<void> {
-    this.#peer.sentAt = performance.now();
-    const isHeard = await this.#callHeartbeat();
-    if (!isHeard && !this.#isOver) await sleep(RETRY_MILLISECONDS);
+    this.#peer.lastSentAt = performance.now();
+    const isAnswered = await this.#callHeartbeat();
+    if (!isAnswered && !this.#isOver) await sleep(RETRY_MILLISECONDS);
   }
 
-  /** Sends a message without entries; false if it was not answered. */
+  /** Sends a request without entries; returns false if it was not answered. */
   async #callHeartbeat(): Promise<boolean> {
     const peer = this.#peer;
     const sentAt = performance.now();
     const reply = await this.#callAppend({
-      // Before the first answer nothing is known, and the end of the own log
-      // finds out how far the member is.
+      // Before the first reply the member's log is unknown. Probing with the end
+      // of the leader's log makes the member report how far its log reaches.
       previousIndex: peer.matchIndex || peer.nextIndex - 1,
       entries: [],
       timeouts: 1,
     });
     if (this.#isOver || reply.err) return false;
-    this.#noteHeard({ reply: reply.val, sentAt });
+    this.#recordReply({ reply: reply.val, sentAt });
     return true;
   }
 
-  /** True if a member gets entries now: spares yield while a quorum is behind. */
-  #isFed(): boolean {
+  /** True if the member receives entries now; spares do not while a quorum lags. */
+  #receivesEntries(): boolean {
     const peer = this.#peer;
     if (isVoter(peer)) return true;
     if (isCold(peer)) return false;
-    const { log, getCommitIndex } = this.#parts;
-    return log.lastIndex - getCommitIndex() <= YIELD_ENTRIES;
+    const { log, getCommitIndex } = this.#context;
+    return log.lastIndex - getCommitIndex() <= MAX_BACKLOG_ENTRIES_FOR_SPARES;
   }
 
-  /** Time until a member should get entries, ms; Infinity if there are none. */
-  #findEntryWait(now: number): number {
+  /** Returns the time until the member should be sent entries, ms; Infinity if there are none. */
+  #findEntryDelay(now: number): number {
     const peer = this.#peer;
-    if (!this.#isFed()) return Infinity;
-    const behind = this.#parts.log.lastIndex - peer.nextIndex + 1;
+    if (!this.#receivesEntries()) return Infinity;
+    const behind = this.#context.log.lastIndex - peer.nextIndex + 1;
     if (isVoter(peer)) return behind > 0 ? 0 : Infinity;
-    return findSpareWait({ behind, sentAt: peer.sentAt, now });
+    return findSpareWait({ behind, sentAt: peer.lastSentAt, now });
   }
 
   async #waitForWork(): Promise<void> {
     const peer = this.#peer;
-    const { leadership, work, changed } = this.#parts;
+    const { leadership, work, changed } = this.#context;
     while (!this.#isOver) {
       const now = performance.now();
-      const wait = this.#findEntryWait(now);
+      const wait = this.#findEntryDelay(now);
       if (wait <= 0) return;
-      // Only an answer of a voter confirms a leadership.
-      if (isVoter(peer) && peer.sentAt <= leadership.confirmAt) return;
-      const left = peer.sentAt + this.#findHeartbeat() - now;
-      if (left <= 0) return;
+      // Only replies of voters confirm the leadership.
+      if (isVoter(peer) && peer.lastSentAt <= leadership.confirmSince) return;
+      const remaining = peer.lastSentAt + this.#findHeartbeatInterval() - now;
+      if (remaining <= 0) return;
       const signal = isCold(peer) ? changed : work;
-      await signal.wait(Math.min(left, wait));
+      await signal.wait(Math.min(remaining, wait));
     }
   }
 
   /**
-   * Time between two heartbeats to a member, ms. A spare elects nobody: it is
-   * to know that there is a leader, and the leader that it is there.
+   * Returns the heartbeat interval of the member, ms. Spares take no part in
+   * elections, so heartbeats only show the spare and the leader that the other
+   * is alive; one per election timeout is enough.
    */
-  #findHeartbeat(): number {
-    const { timing } = this.#parts.options;
+  #findHeartbeatInterval(): number {
+    const { timing } = this.#context.options;
     return isVoter(this.#peer)
       ? timing.heartbeatMilliseconds
       : timing.electionMilliseconds;
@@ -184,9 +193,9 @@
   async #sendEntries(): Promise<void> {
     const peer = this.#peer;
     const sentAt = performance.now();
-    peer.sentAt = sentAt;
+    peer.lastSentAt = sentAt;
     peer.isBusy = true;
-    const entries = this.#parts.log.slice(peer.nextIndex, peer.messageBytes);
+    const entries = this.#context.log.slice(peer.nextIndex, peer.messageBytes);
     const reply = await this.#callAppend({
       previousIndex: peer.nextIndex - 1,
       entries,
@@ -199,16 +208,16 @@
     });
     if (this.#isOver) return;
     if (reply.err) return await sleep(RETRY_MILLISECONDS);
-    this.#takeReply({ reply: reply.val, sentAt });
+    this.#handleAppendReply({ reply: reply.val, sentAt });
   }
 
   async #callAppend(plan: {
     readonly previousIndex: number;
     readonly entries: AppendRequest["entries"];
-    /** Longest wait, in election timeouts. */
+    /** Request timeout, in election timeouts. */
     readonly timeouts: number;
   }): Promise<Outcome<AppendReply>> {
-    const { log, options, leadership } = this.#parts;
+    const { log, options, leadership } = this.#context;
     const peer = this.#peer;
     const { previousIndex, entries, timeouts } = plan;
     const request: AppendRequest = {
@@ -219,8 +228,9 @@
       previousIndex,
       previousTerm: log.findTerm(previousIndex) ?? 0,
       entries,
-      commitIndex: this.#parts.getCommitIndex(),
-      // Whoever is wanted as a voter is not well before it has caught up.
+      commitIndex: this.#context.getCommitIndex(),
+      // While voters are missing, a spare is not marked as cold: a cold spare
+      // reports itself healthy without having caught up.
       ...(isCold(peer) && !leadership.isShortOfVoters ? { isCold: true } : {}),
     };
     return await this.#caller.call("consensus.append", request, {
@@ -228,22 +238,22 @@
     });
   }
 
-  /** Takes from an answer that the member was there, and the term it knows. */
-  #noteHeard(answer: Answer): void {
+  /** Records the contact with the member and checks the term of its reply. */
+  #recordReply(answer: TimedReply): void {
     const peer = this.#peer;
-    const { leadership, onHigherTerm } = this.#parts;
+    const { leadership, onHigherTerm } = this.#context;
     const { reply, sentAt } = answer;
     if (reply.term > leadership.term) return onHigherTerm(reply.term);
-    peer.heardAt = performance.now();
+    peer.lastReplyAt = performance.now();
     peer.reportedIndex = Math.max(peer.reportedIndex, reply.matchIndex);
-    peer.ackedSentAt = Math.max(peer.ackedSentAt, sentAt);
-    this.#parts.acked.wake();
+    peer.lastAckedSentAt = Math.max(peer.lastAckedSentAt, sentAt);
+    this.#context.acked.wake();
   }
 
-  #takeReply(answer: Answer): void {
+  #handleAppendReply(answer: TimedReply): void {
     const peer = this.#peer;
     const { reply } = answer;
-    this.#noteHeard(answer);
+    this.#recordReply(answer);
     if (this.#isOver) return;
     if (!reply.accepted) {
       peer.nextIndex = Math.max(
@@ -254,17 +264,18 @@
     }
     peer.matchIndex = Math.max(peer.matchIndex, reply.matchIndex);
     peer.nextIndex = peer.matchIndex + 1;
-    this.#parts.leadership.advanceCommit();
+    this.#context.leadership.advanceCommit();
   }
 
   /**
-   * Sends snapshots to one member at a time: several at once would each take
-   * several times as long, and the entries of the others wait behind them.
+   * Sends a snapshot when no other member is being sent one. Snapshots that are
+   * sent at the same time share the bandwidth: each takes several times as long
+   * and delays the entries for the other members.
    */
   async #sendSnapshot(): Promise<void> {
     const peer = this.#peer;
-    const turn = this.#parts.snapshots.run(() => this.#sendSnapshotNow());
-    // A member that waits for its turn must still hear its leader.
+    const turn = this.#context.snapshotQueue.run(() => this.#sendSnapshotNow());
+    // The member must receive heartbeats also while it waits in the queue.
     peer.isBusy = true;
     await turn;
     peer.isBusy = false;
@@ -273,11 +284,11 @@
   async #sendSnapshotNow(): Promise<void> {
     if (this.#isOver) return;
     const peer = this.#peer;
-    const { options, leadership, onHigherTerm } = this.#parts;
+    const { options, leadership, onHigherTerm } = this.#context;
     const snapshot = await options.folder.snapshots.open(options.group);
     if (snapshot === undefined) return await sleep(RETRY_MILLISECONDS);
     const startedAt = performance.now();
-    peer.sentAt = startedAt;
+    peer.lastSentAt = startedAt;
     const reply = await sendSnapshot(snapshot, {
       caller: this.#caller,
       term: leadership.term,
@@ -295,15 +306,18 @@
       return await sleep(RETRY_MILLISECONDS);
     }
     if (reply.val.term > leadership.term) return onHigherTerm(reply.val.term);
-    peer.heardAt = performance.now();
-    this.#noteSent(snapshot, performance.now() - startedAt);
+    peer.lastReplyAt = performance.now();
+    this.#reportSnapshotSent(snapshot, performance.now() - startedAt);
     const { lastIndex } = snapshot.point;
     peer.matchIndex = Math.max(peer.matchIndex, lastIndex);
     peer.nextIndex = peer.matchIndex + 1;
   }
 
-  #noteSent({ point, size }: StoredSnapshot, milliseconds: number): void {
-    const { options } = this.#parts;
+  #reportSnapshotSent(
+    { point, size }: StoredSnapshot,
+    milliseconds: number,
+  ): void {
+    const { options } = this.#context;
     noteSnapshot(options, { kind: SNAPSHOT_KINDS.SENT, milliseconds });
     options.logger.info("Snapshot sent", {
       group: options.group,
--- a/packages/consensus/src/group/replicated_group.ts
+++ b/packages/consensus/src/group/replicated_group.ts
@@ -1,4 +1,4 @@
-/** One replicated log with its state machine, at one replica. */
+/** One replica of a group: its log, state machine, elections and leadership. */
 
 import { performance } from "node:perf_hooks";
 import { Buffer } from "node:buffer";
@@ -39,14 +39,21 @@
 import { encodeMembers, type Membership } from "./membership.ts";
 import { ReplicaTerm } from "./replica_term.ts";
 
-/** How much waits at a leader. */
+/** Load of a leader by commands that are not committed yet. */
 export interface Pressure {
-  /** 0 if little waits, 1 where a command is refused. */
+  /**
+   * Expected wait divided by the longest wait at which a command is accepted:
+   * 0 if few entries are pending, above 1 if a command would be rejected.
+   */
   readonly part: number;
+  /** Delay after which a rejected caller should retry. */
   readonly comeBackMilliseconds: number;
 }
 
-/** Replicates commands; see docs/ARCHITECTURE.md for the rules it keeps. */
+/**
+ * Replicates commands to the members of a group and applies them to the state
+ * machine. docs/ARCHITECTURE.md describes the protocol.
+ */
 export class ReplicatedGroup {
   readonly group: number;
   readonly #options: GroupOptions;
@@ -59,12 +66,14 @@
   readonly #elections: Elections;
   readonly #term: ReplicaTerm;
   #leader = "";
-  #heardAt = -Infinity;
-  /** True if the leader that was heard last keeps this replica as a cold spare. */
+  /** When this replica last got a leader's message, granted a vote or stepped down. */
+  #leaderContactAt = -Infinity;
+  /** True if the latest leader treats this replica as a cold spare. */
   #isCold = false;
   #leadership: Leadership | undefined;
-  #announced = false;
-  #handingOver = false;
+  /** True once this leader has applied an entry of its own term. */
+  #isEstablished = false;
+  #isHandingOver = false;
 
   constructor(options: GroupOptions) {
     this.#options = options;
@@ -73,10 +82,10 @@
     const stored = options.folder.getStored(options.group);
     this.#term = new ReplicaTerm(stored, options.folder);
     this.#store = new EntryStore(stored, options.folder);
-    this.#store.onMembership = (now) => this.#leadership?.followMembership(now);
+    this.#store.onMembership = (now) => this.#leadership?.updatePeers(now);
     this.#applier = new Applier(options, this.#store);
     this.#applier.getWantedIndex = () =>
-      this.#leadership?.findWantedIndex(performance.now()) ?? Infinity;
+      this.#leadership?.findLowestMatchIndex(performance.now()) ?? Infinity;
     this.#elections = new Elections({
       options,
       store: this.#store,
@@ -91,33 +100,33 @@
     void this.#elections.run();
   }
 
-  /** Ends all tasks; proposals under way fail. */
+  /** Stops all tasks; pending proposals fail. */
   stop(): void {
     this.#stopped.abort(ABORTED);
     this.#stepDown(LEADERSHIP_ENDS.STOPPED);
   }
 
-  /** True if this replica leads and has applied all that came before its term. */
+  /** True if this replica leads and has applied all entries of earlier terms. */
   get isLeading(): boolean {
-    return this.#announced;
+    return this.#isEstablished;
   }
 
-  /** Term of the leadership that {@linkcode isLeading} speaks of. */
+  /** Latest term that this replica knows; while {@linkcode isLeading}, the term it leads. */
   get term(): number {
     return this.#term.number;
   }
 
-  /** Id of the leader, as far as known; empty if not. */
+  /** Replica id of the leader; empty if it is not known. */
   get leader(): string {
     return this.#leader;
   }
 
-  /** Leader's view of the membership and its peers, for the keeper. */
+  /** Current leadership of this replica, for the membership keeper; undefined for followers. */
   get leadership(): Leadership | undefined {
     return this.#leadership;
   }
 
-  /** Members by the newest entry. */
+  /** Membership as of the latest log entry, committed or not. */
   get membership(): Membership {
     return this.#store.membership;
   }
@@ -127,22 +136,23 @@
     return this.#applier.appliedIndex;
   }
 
-  /** Milliseconds since a leader was heard; 0 while leading. */
+  /** Time since the last contact with a leader, ms; 0 while leading. */
   findSilence(now: number): number {
-    return this.#leadership !== undefined ? 0 : now - this.#heardAt;
+    return this.#leadership !== undefined ? 0 : now - this.#leaderContactAt;
   }
 
   /**
-   * True if a leader counts this replica but sends it no entries, so that it
-   * may not know of its own membership.
+   * True if this replica is a cold spare: a member to which the leader sends no
+   * entries, so that its log may not contain its own membership.
    */
   get isCold(): boolean {
     return this.#isCold;
   }
 
   /**
-   * True if this replica follows a leader, is not far behind, and counts or is
-   * a spare one beside enough voters. A cold spare has nothing to be behind in.
+   * True if this replica has recent contact with a leader, has applied all
+   * committed entries it knows of, and is a voter or a spare in a group with
+   * enough voters. A cold spare receives no entries, so it cannot lag.
    */
   isHealthy(now: number): boolean {
     const limit = 4 * this.#options.timing.electionMilliseconds;
@@ -158,9 +168,9 @@
   }
 
   /**
-   * Replicates a command and returns what the state machine made of it.
-   * After LEADERSHIP_LOST the command may or may not be committed; after
-   * LEADER_BUSY it never will be.
+   * Replicates a command and returns the result of the state machine. After
+   * LEADERSHIP_LOST the command may or may not be committed; after LEADER_BUSY
+   * it is not in the log and never will be.
    *
    * @example
    * ```ts
@@ -171,14 +181,18 @@
     command: unknown,
     urgency: Urgency = URGENCIES.FINISH,
   ): Promise<Outcome<Applied>> {
-    if (!this.#announced || this.#handingOver) return this.#refuse();
+    if (!this.#isEstablished || this.#isHandingOver) return this.#refuse();
     const now = performance.now();
-    const comeBack = this.#gate.judge(urgency, this.#applier.waiting, now);
-    if (comeBack !== undefined) return this.#refuseForLoad(comeBack);
+    const retryAfter = this.#gate.judge(
+      urgency,
+      this.#applier.waiting,
+      now,
+    );
+    if (retryAfter !== undefined) return this.#refuseForLoad(retryAfter);
     return await this.#append(ENTRY_KINDS.COMMAND, encodePayload(command));
   }
 
-  /** How near the leader is to refusing a command, and when to come back then. */
+  /** Returns how close the leader is to rejecting a command of this urgency, and the retry delay. */
   findPressure(urgency: Urgency, now: number): Pressure {
     const { waiting } = this.#applier;
     return {
@@ -190,7 +204,7 @@
   /** Confirms with a quorum that this replica still leads. */
   async confirmLeadership(): Promise<Outcome<void>> {
     const leadership = this.#leadership;
-    if (leadership === undefined || !this.#announced) return this.#refuse();
+    if (leadership === undefined || !this.#isEstablished) return this.#refuse();
     const index = this.#applier.commitIndex;
     const confirmed = await leadership.confirm(
       this.#options.timing.electionMilliseconds,
@@ -203,17 +217,20 @@
   }
 
   /**
-   * When a quorum last confirmed that this replica leads, by the local clock;
-   * -Infinity if it does not.
+   * Returns the latest time, by the local monotonic clock, at which a quorum is
+   * known to have accepted this replica as leader; -Infinity if it does not lead.
    */
   findConfirmedAt(now: number): number {
-    if (!this.#announced) return -Infinity;
+    if (!this.#isEstablished) return -Infinity;
     return this.#leadership?.findConfirmedAt(now) ?? -Infinity;
   }
 
-  /** Changes the members by one voter at most; waits until it is committed. */
+  /**
+   * Replaces the member list and resolves when the change is committed. The list
+   * may differ from the current one by one voter at most.
+   */
   async changeMembers(members: readonly Member[]): Promise<Outcome<Applied>> {
-    if (!this.#announced) return this.#refuse();
+    if (!this.#isEstablished) return this.#refuse();
     if (this.#store.membership.changedAt > this.#applier.commitIndex) {
       return fail(
         RESULT_CODES.VERSION_CONFLICT,
@@ -223,20 +240,20 @@
     return await this.#append(ENTRY_KINDS.MEMBERSHIP, encodeMembers(members));
   }
 
-  /** Passes the leadership on before a planned stop. */
+  /** Transfers the leadership to another voter before a planned stop. */
   async handOver(): Promise<void> {
     const leadership = this.#leadership;
     if (leadership === undefined) return;
-    this.#handingOver = true;
+    this.#isHandingOver = true;
     await handOverLeadership(leadership, {
       options: this.#options,
       log: this.#store.log,
       membership: this.#store.membership,
     });
-    this.#handingOver = false;
+    this.#isHandingOver = false;
   }
 
-  /** Serves a vote request. */
+  /** Handles a vote request from a candidate. */
   async handleVote(request: VoteRequest): Promise<Outcome<VoteReply>> {
     const now = performance.now();
     const { term, preVote, from } = request;
@@ -246,15 +263,15 @@
     const granted = outcome === VOTE_OUTCOMES.GRANTED;
     if (!granted || preVote) return Ok({ term: this.term, granted });
     this.#adoptTerm(term);
-    this.#heardAt = now;
+    this.#leaderContactAt = now;
     await this.#term.voteFor(from.replicaId);
     return Ok({ term, granted: this.term === term });
   }
 
-  /** Serves an append request. */
+  /** Handles an append request or heartbeat from a leader. */
   async handleAppend(request: AppendRequest): Promise<Outcome<AppendReply>> {
     const { term } = this;
-    if (!this.#isForMe(request.toIncarnation)) {
+    if (!this.#hasIncarnation(request.toIncarnation)) {
       return fail(
         RESULT_CODES.NOT_LEADER,
         "The message is for an earlier incarnation",
@@ -287,16 +304,16 @@
     if (this.term !== request.term) {
       return Ok({ term: this.term, accepted: false, matchIndex: 0 });
     }
-    this.#heardAt = performance.now();
+    this.#leaderContactAt = performance.now();
     this.#applier.commitUntil(Math.min(request.commitIndex, matchIndex));
     return Ok({ term: this.term, accepted: true, matchIndex });
   }
 
-  /** Serves a part of a snapshot. */
+  /** Handles a chunk of a snapshot from a leader; installs the snapshot after the last chunk. */
   async handleSnapshot(
     request: SnapshotRequest,
   ): Promise<Outcome<SnapshotReply>> {
-    if (!this.#isForMe(request.toIncarnation)) {
+    if (!this.#hasIncarnation(request.toIncarnation)) {
       return fail(
         RESULT_CODES.NOT_LEADER,
         "The message is for an earlier incarnation",
@@ -315,13 +332,13 @@
     return Ok({ term: this.term, accepted: true });
   }
 
-  /** Serves a hand-over: starts an election at once. */
+  /** Handles a leadership transfer from the leader: starts an election at once. */
   async handleHandover(
     request: HandoverRequest,
   ): Promise<Outcome<Record<string, never>>> {
-    const forMe = this.#isForMe(request.toIncarnation);
+    const isAddressee = this.#hasIncarnation(request.toIncarnation);
     if (
-      forMe && request.term === this.term &&
+      isAddressee && request.term === this.term &&
       this.#store.log.lastIndex >= request.lastIndex
     ) {
       await this.#elections.elect(true);
@@ -329,7 +346,7 @@
     return Ok({});
   }
 
-  /** State of the group, for operators. */
+  /** Returns the state of the group for operators. */
   describe(now: number): GroupStatus {
     return {
       group: this.group,
@@ -351,15 +368,15 @@
     );
   }
 
-  #refuseForLoad(comeBackMilliseconds: number) {
+  #refuseForLoad(retryAfterMilliseconds: number) {
     return fail(
       RESULT_CODES.LEADER_BUSY,
       RESULT_CODES.LEADER_BUSY.meaning,
-      comeBackMilliseconds,
+      retryAfterMilliseconds,
     );
   }
 
-  #isForMe(incarnation: string): boolean {
+  #hasIncarnation(incarnation: string): boolean {
     return incarnation === this.#options.identity.incarnation;
   }
 
@@ -369,7 +386,7 @@
       term: this.term,
       votedFor: this.#term.votedFor,
       isLeading: this.#leadership !== undefined,
-      heardAt: this.#heardAt,
+      heardAt: this.#leaderContactAt,
       leaseMilliseconds: this.#options.timing.electionMilliseconds,
       lastIndex: this.#store.log.lastIndex,
       lastTerm: this.#store.log.lastTerm,
@@ -380,41 +397,41 @@
     return {
       getTerm: () => this.term,
       isLeader: () => this.#leadership !== undefined,
-      getHeardAt: () => this.#heardAt,
+      getHeardAt: () => this.#leaderContactAt,
       adoptTerm: (term) => this.#adoptTerm(term),
       voteForSelf: () => this.#term.voteFor(this.#options.identity.replicaId),
-      lead: () => this.#lead(),
-      lookAfterLeadership: (now) => this.#lookAfterLeadership(now),
+      lead: () => this.#becomeLeader(),
+      lookAfterLeadership: (now) => this.#maintainLeadership(now),
     };
   }
 
-  #lookAfterLeadership(now: number): void {
+  #maintainLeadership(now: number): void {
     const leadership = this.#leadership;
     if (leadership === undefined) return;
-    this.#report.noteWaiting(this.#viewWaiting(leadership, now), now);
+    this.#report.noteWaiting(this.#describePending(leadership, now), now);
     leadership.chooseWarmSpares(now);
     this.#checkQuorum(leadership, now);
   }
 
   #checkQuorum(leadership: Leadership, now: number): void {
     const since = now - 2 * this.#options.timing.electionMilliseconds;
-    const joined = leadership.startedAt < since;
+    const isGracePeriodOver = leadership.startedAt < since;
     if (
-      !joined ||
+      !isGracePeriodOver ||
       leadership.countAckedSince(since) >= this.#store.membership.quorum
     ) return;
     this.#stepDown(LEADERSHIP_ENDS.NO_QUORUM);
   }
 
-  #viewWaiting(leadership: Leadership, now: number): WaitingView {
+  #describePending(leadership: Leadership, now: number): WaitingView {
     return {
       term: leadership.term,
       waiting: this.#store.log.lastIndex - this.#applier.commitIndex,
-      members: leadership.viewMembers(now),
+      members: leadership.listMemberViews(now),
     };
   }
 
-  #lead(): void {
+  #becomeLeader(): void {
     if (this.#stopped.signal.aborted) return;
     this.#leader = this.#options.identity.replicaId;
     const leadership = new Leadership({
@@ -428,26 +445,27 @@
       onHigherTerm: (term) => this.#adoptTerm(term),
     });
     this.#leadership = leadership;
-    leadership.followMembership(performance.now());
+    leadership.updatePeers(performance.now());
     this.#options.logger.info("Leading", {
       group: this.group,
       term: this.term,
     });
-    void this.#announce(leadership);
+    void this.#establishLeadership(leadership);
   }
 
   #commit(index: number): void {
-    const before = this.#applier.waiting.cost;
+    const pendingCost = this.#applier.waiting.cost;
     this.#applier.commitUntil(index);
-    const committed = before - this.#applier.waiting.cost;
-    if (committed > 0) this.#gate.noteCommitted(committed, performance.now());
+    const cost = pendingCost - this.#applier.waiting.cost;
+    if (cost > 0) this.#gate.noteCommitted(cost, performance.now());
   }
 
-  async #announce(leadership: Leadership): Promise<void> {
-    // The state is only up to date once an entry of the own term is applied.
+  async #establishLeadership(leadership: Leadership): Promise<void> {
+    // Entries of earlier terms are known to be committed, and the state to be
+    // current, only once an entry of this term has been applied.
     const applied = await this.#append(ENTRY_KINDS.NOOP, Buffer.alloc(0));
     if (applied.err || leadership.isOver) return;
-    this.#announced = true;
+    this.#isEstablished = true;
     this.#options.metrics.leading.set({ group: this.group }, 1);
     this.#options.listener.onLeading(leadership.term);
   }
@@ -458,16 +476,16 @@
     const now = performance.now();
     this.#report.noteEnd(
       reason,
-      this.#viewWaiting(leadership, now),
+      this.#describePending(leadership, now),
       now - leadership.startedAt,
     );
     this.#leadership = undefined;
     leadership.end();
     if (this.#leader === this.#options.identity.replicaId) this.#leader = "";
-    this.#heardAt = now;
+    this.#leaderContactAt = now;
     this.#applier.loseProposals();
-    if (!this.#announced) return;
-    this.#announced = false;
+    if (!this.#isEstablished) return;
+    this.#isEstablished = false;
     this.#options.metrics.leading.set({ group: this.group }, 0);
     this.#options.listener.onFollowing();
   }
@@ -481,7 +499,7 @@
   #followLeader(term: number, leader: string): void {
     this.#adoptTerm(term);
     this.#leader = leader;
-    this.#heardAt = performance.now();
+    this.#leaderContactAt = performance.now();
   }
 
   async #append(
@@ -496,8 +514,8 @@
     const applied = this.#applier.waitFor(entry, startedAt);
     const synced = this.#store.appendOwn(entry);
     leadership.wake();
-    // A quorum of the others is enough: a stalled disk of the leader holds
-    // nothing up. A disk that fails ends the replica elsewhere.
+    // A quorum of other voters can commit the entry, so a stalled disk of the
+    // leader delays nothing. A write error stops the replica elsewhere.
     void synced.then(() => leadership.advanceCommit());
     const outcome = await applied;
     const seconds = (performance.now() - startedAt) / 1_000;
