--- a/packages/consensus/src/group/proposal_gate.ts
+++ b/packages/consensus/src/group/proposal_gate.ts
@@ -1,23 +1,22 @@
 /**
- * How much may wait at a leader. Nothing here needs a network.
+ * Admission control of a leader: rejects at once the commands that a quorum
+ * could not commit before their callers time out.
  *
- * The load it answers: more commands than a quorum can take, for some seconds.
- * Without a bound each commit takes longer than its asker waits, so that all
- * that a leader still does is for nobody, also once the load is gone.
- *
- * What it buys: a command that was let in is decided while its asker waits, and
- * one that was not is refused at once. On a site of three stores whose ways
- * take 400 kB a second, asked for six times that for 3 s, no more than one
- * command in ten is decided for nobody; up to nine in ten were without it.
+ * Without it, a load above the capacity of the quorum makes each commit take
+ * longer than its caller waits. The leader then only works for callers that
+ * have given up, even after the load is gone. On a site of three stores with
+ * connections of 400 kB a second, and 3 s of six times the load that these can
+ * carry, at most one command in ten commits too late; without admission control
+ * up to nine in ten did.
  */
 
-/** How a command stands to the work that is under way. */
+/** Classes of commands in admission control. */
 export const URGENCIES = {
-  /** Ends work, or is an order: never refused for load. */
+  /** Completes work, or is an order: never rejected for load. */
   FINISH: "finish",
-  /** Goes on with work that has been begun. */
+  /** Continues work that has begun. */
   CONTINUE: "continue",
-  /** Begins new work, which costs least to refuse. */
+  /** Starts new work, which is the cheapest to reject. */
   START: "start",
 } as const;
 
@@ -25,48 +24,52 @@
 export type Urgency = typeof URGENCIES[keyof typeof URGENCIES];
 
 /**
- * Longest expected wait at which a command is let in, ms. Askers share a
- * command for as long as they wait, which is 2 s and more; what goes on with
- * work may take most of that, and what begins new work half, so that new work
- * yields first. A refusal costs its asker more than a wait: at 380 and 240 ms a
- * simulated site of 27 gateways refused 4,408 tries of a day, where 52 without
- * a bound were (one run each).
+ * Longest expected wait at which a command is admitted, ms. Callers of the same
+ * command share its result and wait 2 s or more for it. Commands that continue
+ * work may take most of that time, and commands that start work half of it, so
+ * that new work is rejected first. A rejection costs a caller more than a wait:
+ * with 380 and 240 ms a simulated site of 27 gateways rejected 4,408 attempts
+ * in a day, against 52 without a bound.
  */
-const LONGEST_WAIT_MILLISECONDS: Readonly<Record<Urgency, number>> = {
+const MAX_WAIT_MILLISECONDS: Readonly<Record<Urgency, number>> = {
   finish: Infinity,
   continue: 1_600,
   start: 800,
 };
 
 /**
- * What an entry costs besides its bytes, in bytes: its share of messages,
- * answers and syncs, about what another kilobyte of it would cost.
+ * Cost of an entry beyond its payload, in bytes: its share of messages, replies
+ * and disk syncs costs about as much as another kilobyte of payload.
+ */
+const ENTRY_OVERHEAD_BYTES = 1_000;
+/** Queued cost below which every command is admitted, bytes: half a message of entries. */
+const ALWAYS_ADMITTED_BYTES = 65_536;
+/** Cost above which an entry counts as large: half of the cost that is always admitted. */
+export const LARGE_COST = ALWAYS_ADMITTED_BYTES / 2;
+/** Window over which the commit rate is measured, ms: several round trips. */
+const RATE_WINDOW_MILLISECONDS = 500;
+/**
+ * Longest part of a pause between two commits that counts in the rate window,
+ * ms. A slow quorum commits at shorter intervals; a quorum that paused for longer
+ * usually continues at its former rate. Counted in full, a pause of 400 ms at
+ * 1,000 commands a second lowered the rate to a fifth, and nearly all commands
+ * were rejected; with this limit none of 100 pauses of 200 to 450 ms causes a
+ * rejection.
  */
-const ENTRY_BYTES = 1_000;
-/** Cost that may wait in any case, bytes: half of one message of entries. */
-const ALWAYS_BYTES = 65_536;
-/** Cost from which a single entry counts as large: half of what may wait in any case. */
-export const LARGE_COST = ALWAYS_BYTES / 2;
-/** Time over which the pace of commits is taken, ms: some round trips. */
-const PACE_MILLISECONDS = 500;
+const MAX_COUNTED_PAUSE_MILLISECONDS = 200;
 /**
- * Most of a pause between two commits that counts as time of the pace, ms. A
- * slow quorum answers every while; one that stood still for longer goes on as it
- * did before. Counted in full, a pause of 400 ms at 1,000 commands a second made
- * the pace a fifth of what it was, and nearly all that came was refused; of 100
- * pauses of 200 to 450 ms none refuses any now (simulated without a network).
+ * Pause after which the quorum may be lost, ms: nearly two election timeouts.
+ * Time beyond it counts in the rate window again.
  */
-const LONGEST_PAUSE_MILLISECONDS = 200;
-/** Pause after which nobody knows whether the quorum goes on, ms: nearly two elections. */
-const DOUBTED_PAUSE_MILLISECONDS = 500;
-/** Least pace that is reckoned with, bytes a second: a quorum that stalls. */
-const LEAST_PACE = 100_000;
-/** Least and longest time after which a refused asker should come back, ms. */
-const COME_BACK_MILLISECONDS = { least: 200, longest: 2_000 };
-
-/** What waits at the moment of a decision. */
+const STALL_MILLISECONDS = 500;
+/** Lowest commit rate to estimate with, bytes a second, for a quorum that stalls. */
+const MIN_COMMIT_RATE = 100_000;
+/** Bounds of the retry delay for a rejected caller, ms. */
+const RETRY_AFTER_MILLISECONDS = { min: 200, max: 2_000 };
+
+/** Uncommitted entries at the time of a decision. */
 export interface WaitingEntries {
-  /** Cost of the entries without a quorum, as {@linkcode findCost} has it. */
+  /** Sum of the costs of the uncommitted entries, see {@linkcode findCost}. */
   readonly cost: number;
   /** Cost of the largest of them if it is above {@linkcode LARGE_COST}, else 0. */
   readonly largestCost: number;
@@ -75,7 +78,7 @@
 }
 
 /**
- * What an entry costs to replicate, in bytes.
+ * Returns the cost to replicate an entry, in bytes.
  *
  * @example
  * ```ts
@@ -83,114 +86,125 @@
  * ```
  */
 export function findCost(payloadBytes: number): number {
-  return payloadBytes + ENTRY_BYTES;
+  return payloadBytes + ENTRY_OVERHEAD_BYTES;
 }
 
 /**
- * Lets commands in for as long as they can be decided in time.
+ * Admits commands as long as they can be committed in time.
  *
  * @example
  * ```ts
- * const gate = new ProposalGate();
- * gate.noteCommitted(500_000, 0);
+ * const admission = new AdmissionController();
+ * admission.recordCommit(500_000, 0);
  * const waiting = { cost: 10_000, largestCost: 0, oldestAt: 0 };
- * gate.judge("start", waiting, 5); // undefined: let it in
- * gate.judge("start", { ...waiting, cost: 900_000 }, 5); // 900: come back then
+ * admission.checkAdmission("start", waiting, 5); // undefined: admitted
+ * admission.checkAdmission("start", { ...waiting, cost: 900_000 }, 5); // 900: retry then
  * ```
  */
-export class ProposalGate {
-  /** Commits of the last while of the pace's time, oldest first. */
-  #commits: CommitAt[] = [];
-  #committed = 0;
-  /** Time of the pace at the newest commit, ms, and when that was. */
-  #paceTime = 0;
-  #committedAt = -Infinity;
-
-  /** Counts the cost of entries that a quorum has. */
-  noteCommitted(cost: number, now: number): void {
+export class AdmissionController {
+  /** Commits within the rate window, oldest first. */
+  #commits: CommitSample[] = [];
+  #committedCost = 0;
+  /**
+   * Rate time of the latest commit, ms: the clock of the rate window, which
+   * counts long pauses only in part.
+   */
+  #rateTime = 0;
+  #lastCommitAt = -Infinity;
+
+  /** Records the cost of entries that were committed. */
+  recordCommit(cost: number, now: number): void {
     if (cost <= 0) return;
-    this.#paceTime = this.#findPaceTime(now);
-    this.#committedAt = now;
-    this.#commits.push({ cost, paceTime: this.#paceTime });
-    this.#committed += cost;
-    this.#dropOld(this.#paceTime);
+    this.#rateTime = this.#findRateTime(now);
+    this.#lastCommitAt = now;
+    this.#commits.push({ cost, rateTime: this.#rateTime });
+    this.#committedCost += cost;
+    this.#dropExpired(this.#rateTime);
   }
 
   /**
-   * Decides on one command.
+   * Decides whether a command is admitted.
    *
-   * @returns undefined if it may come in, or the time after which its asker
-   * should come back, ms
+   * @returns undefined if it is admitted, else the delay after which the caller
+   * should retry, ms
    */
-  judge(
+  checkAdmission(
     urgency: Urgency,
     waiting: WaitingEntries,
     now: number,
   ): number | undefined {
-    if (this.findPressure(urgency, waiting, now) <= 1) return undefined;
-    return this.findComeBack(waiting, now);
+    if (this.findLoadRatio(urgency, waiting, now) <= 1) return undefined;
+    return this.findRetryAfter(waiting, now);
   }
 
-  /** Expected wait as a part of the longest at which a command is let in; 0 if little waits. */
-  findPressure(
+  /**
+   * Returns the expected wait divided by the longest wait at which a command is
+   * admitted; 0 while the queued cost is always admitted.
+   */
+  findLoadRatio(
     urgency: Urgency,
     waiting: WaitingEntries,
     now: number,
   ): number {
-    if (findQueue(waiting) < ALWAYS_BYTES) return 0;
-    return this.findWait(waiting, now) / LONGEST_WAIT_MILLISECONDS[urgency];
+    if (findQueuedCost(waiting) < ALWAYS_ADMITTED_BYTES) return 0;
+    return this.estimateWait(waiting, now) / MAX_WAIT_MILLISECONDS[urgency];
   }
 
-  /** When a refused asker should come back, ms. */
-  findComeBack(waiting: WaitingEntries, now: number): number {
-    const { least, longest } = COME_BACK_MILLISECONDS;
-    const expected = this.findWait(waiting, now);
-    return Math.round(Math.min(longest, Math.max(least, expected)));
+  /** Returns the delay after which a rejected caller should retry, ms. */
+  findRetryAfter(waiting: WaitingEntries, now: number): number {
+    const { min, max } = RETRY_AFTER_MILLISECONDS;
+    const expected = this.estimateWait(waiting, now);
+    return Math.round(Math.min(max, Math.max(min, expected)));
   }
 
-  /** Time until an entry that came now would have a quorum, ms. */
-  findWait(waiting: WaitingEntries, now: number): number {
+  /** Estimates the time until an entry that is appended now commits, ms. */
+  estimateWait(waiting: WaitingEntries, now: number): number {
     const age = Math.max(0, now - waiting.oldestAt);
-    const queue = findQueue(waiting) * 1_000 / this.#findPace(now);
-    return Math.max(age, queue);
+    const queueDelay = findQueuedCost(waiting) * 1_000 /
+      this.#findCommitRate(now);
+    return Math.max(age, queueDelay);
   }
 
-  /** Cost that got a quorum in the last while, bytes a second. */
-  #findPace(now: number): number {
-    this.#dropOld(this.#findPaceTime(now));
-    return Math.max(LEAST_PACE, this.#committed * 1_000 / PACE_MILLISECONDS);
+  /** Returns the commit rate over the window, bytes a second. */
+  #findCommitRate(now: number): number {
+    this.#dropExpired(this.#findRateTime(now));
+    return Math.max(
+      MIN_COMMIT_RATE,
+      this.#committedCost * 1_000 / RATE_WINDOW_MILLISECONDS,
+    );
   }
 
-  #dropOld(paceTime: number): void {
-    const since = paceTime - PACE_MILLISECONDS;
+  #dropExpired(rateTime: number): void {
+    const since = rateTime - RATE_WINDOW_MILLISECONDS;
     let old = 0;
     for (const commit of this.#commits) {
-      if (commit.paceTime > since) break;
-      this.#committed -= commit.cost;
+      if (commit.rateTime > since) break;
+      this.#committedCost -= commit.cost;
       old++;
     }
     if (old > 0) this.#commits = this.#commits.slice(old);
   }
 
-  #findPaceTime(now: number): number {
-    if (this.#committedAt === -Infinity) return 0;
-    const pause = Math.max(0, now - this.#committedAt);
-    return this.#paceTime + Math.min(pause, LONGEST_PAUSE_MILLISECONDS) +
-      Math.max(0, pause - DOUBTED_PAUSE_MILLISECONDS);
+  /** Returns the rate time now, ms; see {@linkcode MAX_COUNTED_PAUSE_MILLISECONDS}. */
+  #findRateTime(now: number): number {
+    if (this.#lastCommitAt === -Infinity) return 0;
+    const pause = Math.max(0, now - this.#lastCommitAt);
+    return this.#rateTime + Math.min(pause, MAX_COUNTED_PAUSE_MILLISECONDS) +
+      Math.max(0, pause - STALL_MILLISECONDS);
   }
 }
 
 /**
- * What a new entry waits for. The largest one does not count: a leader that is
- * asked for little shows a low pace, by which a single entry of 900 kB (a turn
- * with a long input) looked like 9 s of work and refused every new program
- * while it was on its way. How long it takes shows in its age.
+ * Returns the cost of the entries ahead of a new one, without the largest entry.
+ * At the low commit rate of a lightly loaded leader, a single entry of 900 kB (a
+ * turn with a long input) looked like 9 s of work, and every new program was
+ * rejected while it was in flight. Its delay shows in the age of the oldest entry.
  */
-function findQueue({ cost, largestCost }: WaitingEntries): number {
+function findQueuedCost({ cost, largestCost }: WaitingEntries): number {
   return cost - largestCost;
 }
 
-interface CommitAt {
+interface CommitSample {
   readonly cost: number;
-  readonly paceTime: number;
+  readonly rateTime: number;
 }
--- a/packages/consensus/src/group/proposal_gate_test.ts
+++ b/packages/consensus/src/group/proposal_gate_test.ts
@@ -1,26 +1,26 @@
 import fc from "fast-check";
 import { test } from "tap";
 import {
+  AdmissionController,
   findCost,
-  ProposalGate,
   URGENCIES,
   type Urgency,
 } from "./proposal_gate.ts";
 
-/** What each entry of these tests costs. */
+/** Cost of each entry in these tests. */
 const COST = findCost(100);
 
-/** How long askers wait for a command that they share, ms. */
-const PATIENCE = 2_000;
+/** How long callers wait for a command that they share, ms. */
+const CALLER_TIMEOUT_MILLISECONDS = 2_000;
 
 const SEED = 3;
 
-/** A leader in steps of 10 ms, with commands that come and commits that go. */
-class Leader {
-  readonly gate = new ProposalGate();
-  readonly #waiting: number[] = [];
+/** A leader in steps of 10 ms, with proposed commands and commits. */
+class SimulatedLeader {
+  readonly admission = new AdmissionController();
+  readonly #pendingSince: number[] = [];
   /** Longest time that a command of each urgency waited, ms. */
-  readonly longest: Record<Urgency, number> = {
+  readonly longestWait: Record<Urgency, number> = {
     finish: 0,
     continue: 0,
     start: 0,
@@ -31,167 +31,198 @@
     start: 0,
   };
   readonly #urgencies: Urgency[] = [];
-  /** Commands decided so far, and those of them that waited too long. */
+  /** Number of commands committed so far, and of those committed too late. */
   readonly decided = { all: 0, late: 0 };
 
   get waiting(): number {
-    return this.#waiting.length;
+    return this.#pendingSince.length;
   }
 
-  ask(urgency: Urgency, now: number): number | undefined {
-    const oldestAt = this.#waiting[0] ?? Infinity;
-    const cost = this.#waiting.length * COST;
+  propose(urgency: Urgency, now: number): number | undefined {
+    const oldestAt = this.#pendingSince[0] ?? Infinity;
+    const cost = this.#pendingSince.length * COST;
     const state = { cost, largestCost: 0, oldestAt };
-    const refusal = this.gate.judge(urgency, state, now);
-    if (refusal !== undefined) {
+    const retryAfter = this.admission.checkAdmission(urgency, state, now);
+    if (retryAfter !== undefined) {
       this.refused[urgency]++;
-      return refusal;
+      return retryAfter;
     }
-    this.#waiting.push(now);
+    this.#pendingSince.push(now);
     this.#urgencies.push(urgency);
     return undefined;
   }
 
-  commit(most: number, now: number): void {
-    const count = Math.min(most, this.#waiting.length);
-    const done = this.#waiting.splice(0, count);
+  commit(maxCount: number, now: number): void {
+    const count = Math.min(maxCount, this.#pendingSince.length);
+    const committed = this.#pendingSince.splice(0, count);
     const urgencies = this.#urgencies.splice(0, count);
-    for (const [index, at] of done.entries()) {
+    for (const [index, proposedAt] of committed.entries()) {
       const urgency = urgencies[index] ?? URGENCIES.FINISH;
-      this.longest[urgency] = Math.max(this.longest[urgency], now - at);
+      this.longestWait[urgency] = Math.max(
+        this.longestWait[urgency],
+        now - proposedAt,
+      );
       this.decided.all++;
-      if (now - at > PATIENCE) this.decided.late++;
+      if (now - proposedAt > CALLER_TIMEOUT_MILLISECONDS) this.decided.late++;
     }
-    this.gate.noteCommitted(count * COST, now);
+    this.admission.recordCommit(count * COST, now);
   }
 }
 
-function askMany(
-  leader: Leader,
+function proposeMany(
+  leader: SimulatedLeader,
   urgency: Urgency,
   plan: { readonly count: number; readonly now: number },
 ): void {
-  for (let asked = 0; asked < plan.count; asked++) {
-    leader.ask(urgency, plan.now);
+  for (let sent = 0; sent < plan.count; sent++) {
+    leader.propose(urgency, plan.now);
   }
 }
 
-test("below its limit a leader refuses nothing", (t) => {
-  const leader = new Leader();
+test("a leader below its capacity rejects no commands", (t) => {
+  const leader = new SimulatedLeader();
   for (let now = 0; now < 5_000; now += 10) {
-    askMany(leader, URGENCIES.START, { count: 9, now });
+    proposeMany(leader, URGENCIES.START, { count: 9, now });
     leader.commit(10, now + 10);
   }
   t.equal(leader.refused.start, 0);
   t.end();
 });
 
-test("what is let in is decided while its asker waits, under five times the load", (t) => {
-  const leader = new Leader();
+test("under five times the load, admitted commands commit before their callers time out", (t) => {
+  const leader = new SimulatedLeader();
   for (let now = 0; now < 10_000; now += 10) {
-    askMany(leader, URGENCIES.START, { count: 30, now });
-    askMany(leader, URGENCIES.CONTINUE, { count: 20, now });
+    proposeMany(leader, URGENCIES.START, { count: 30, now });
+    proposeMany(leader, URGENCIES.CONTINUE, { count: 20, now });
     leader.commit(10, now + 10);
   }
-  t.ok(leader.longest.continue < PATIENCE, `${leader.longest.continue} ms`);
-  t.ok(leader.longest.start < PATIENCE, `${leader.longest.start} ms`);
-  t.ok(leader.refused.start > 0.9 * 30_000, "new work yields first");
+  t.ok(
+    leader.longestWait.continue < CALLER_TIMEOUT_MILLISECONDS,
+    `${leader.longestWait.continue} ms`,
+  );
+  t.ok(
+    leader.longestWait.start < CALLER_TIMEOUT_MILLISECONDS,
+    `${leader.longestWait.start} ms`,
+  );
+  t.ok(leader.refused.start > 0.9 * 30_000, "new work is rejected first");
   for (let now = 10_000; now < 12_000; now += 10) leader.commit(10, now);
   t.equal(
-    leader.ask(URGENCIES.START, 12_000),
+    leader.propose(URGENCIES.START, 12_000),
     undefined,
-    "back within one wait",
+    "new work is admitted again after 2 s",
   );
   t.end();
 });
 
-test("a leader that all ask at once takes no more than it can decide", (t) => {
-  const leader = new Leader();
-  askMany(leader, URGENCIES.CONTINUE, { count: 5_000, now: 0 });
-  t.ok(leader.waiting < 200, `${leader.waiting} let in`);
+test("a burst of commands is admitted only up to what can commit in time", (t) => {
+  const leader = new SimulatedLeader();
+  proposeMany(leader, URGENCIES.CONTINUE, { count: 5_000, now: 0 });
+  t.ok(leader.waiting < 200, `${leader.waiting} admitted`);
   t.end();
 });
 
-test("a quorum that stalls lets a few wait, and what ends work always", (t) => {
-  const leader = new Leader();
+test("while a quorum stalls, few commands are admitted, but all that complete work", (t) => {
+  const leader = new SimulatedLeader();
   for (let now = 0; now < 1_000; now += 10) {
-    askMany(leader, URGENCIES.CONTINUE, { count: 10, now });
+    proposeMany(leader, URGENCIES.CONTINUE, { count: 10, now });
     leader.commit(10, now + 10);
   }
   for (let now = 1_000; now < 1_800; now += 10) {
-    askMany(leader, URGENCIES.CONTINUE, { count: 10, now });
+    proposeMany(leader, URGENCIES.CONTINUE, { count: 10, now });
   }
-  const letIn = leader.waiting;
-  t.ok(letIn < 700, `${letIn} let in`);
+  const admitted = leader.waiting;
+  t.ok(admitted < 700, `${admitted} admitted`);
   for (let now = 1_800; now < 3_000; now += 10) {
-    askMany(leader, URGENCIES.START, { count: 5, now });
-    askMany(leader, URGENCIES.CONTINUE, { count: 10, now });
+    proposeMany(leader, URGENCIES.START, { count: 5, now });
+    proposeMany(leader, URGENCIES.CONTINUE, { count: 10, now });
   }
-  t.equal(leader.waiting, letIn, "and none after 0.8 s of silence");
-  t.equal(leader.ask(URGENCIES.FINISH, 3_000), undefined);
-  const refusal = leader.ask(URGENCIES.START, 3_000) ?? 0;
-  t.ok(refusal >= 200 && refusal <= 2_000, `come back in ${refusal} ms`);
+  t.equal(
+    leader.waiting,
+    admitted,
+    "none are admitted after a stall of 0.8 s",
+  );
+  t.equal(leader.propose(URGENCIES.FINISH, 3_000), undefined);
+  const retryAfter = leader.propose(URGENCIES.START, 3_000) ?? 0;
+  t.ok(
+    retryAfter >= 200 && retryAfter <= 2_000,
+    `retry after ${retryAfter} ms`,
+  );
   t.end();
 });
 
-test("large entries count for what they cost", (t) => {
-  const gate = new ProposalGate();
-  gate.noteCommitted(200_000, 0);
+test("pending entries count by their cost", (t) => {
+  const admission = new AdmissionController();
+  admission.recordCommit(200_000, 0);
   const now = 10;
-  const waiting = (cost: number) => ({ cost, largestCost: 0, oldestAt: now });
-  t.equal(gate.judge(URGENCIES.START, waiting(300_000), now), undefined);
-  t.equal(gate.judge(URGENCIES.START, waiting(400_000), now), 1_000);
-  t.equal(gate.judge(URGENCIES.CONTINUE, waiting(400_000), now), undefined);
-  t.equal(gate.judge(URGENCIES.CONTINUE, waiting(800_000), now), 2_000);
+  const makePending = (cost: number) => ({
+    cost,
+    largestCost: 0,
+    oldestAt: now,
+  });
+  t.equal(
+    admission.checkAdmission(URGENCIES.START, makePending(300_000), now),
+    undefined,
+  );
+  t.equal(
+    admission.checkAdmission(URGENCIES.START, makePending(400_000), now),
+    1_000,
+  );
+  t.equal(
+    admission.checkAdmission(URGENCIES.CONTINUE, makePending(400_000), now),
+    undefined,
+  );
+  t.equal(
+    admission.checkAdmission(URGENCIES.CONTINUE, makePending(800_000), now),
+    2_000,
+  );
   t.end();
 });
 
 /*
- * Seen: a site that its leader could carry refused 4,618 tries of a day and
- * ended a fifth lower than without a bound. Cause: the bound was taken from when
- * askers ask again, 400 ms, while what they share is waited for 2 s and more.
- * Proof: with the bound at the askers' wait the same day had 162 of them.
- */
-/*
- * Seen: a new program was refused in the moment in which a turn with an input
- * of 900 kB was kept, on a site that was asked for 20 small turns a second.
- * Cause: by the low pace of a site that is asked for little, one large entry
- * looked like many seconds of work.
+ * New programs were rejected while a turn with an input of 900 kB was stored, on
+ * a site with 20 small turns a second. At the low commit rate of a lightly loaded
+ * leader, one large entry looked like many seconds of work.
  */
-test("one large entry on its way refuses nobody, several do", (t) => {
-  const gate = new ProposalGate();
-  for (let now = 0; now < 1_000; now += 50) gate.noteCommitted(COST, now);
+test("one large entry in flight causes no rejections, several do", (t) => {
+  const admission = new AdmissionController();
+  for (let now = 0; now < 1_000; now += 50) admission.recordCommit(COST, now);
   const large = findCost(900_000);
-  const judge = (cost: number, oldestAt: number) =>
-    gate.judge(
+  const check = (cost: number, oldestAt: number) =>
+    admission.checkAdmission(
       URGENCIES.START,
       { cost: cost + 10 * COST, largestCost: large, oldestAt },
       1_000,
     );
-  t.equal(judge(large, 990), undefined);
-  t.type(judge(2 * large, 990), "number");
+  t.equal(check(large, 990), undefined);
+  t.type(check(2 * large, 990), "number");
   t.end();
 });
 
-test("a leader near its limit that stands still for a while refuses nothing", (t) => {
-  const leader = new Leader();
+/*
+ * A site whose leader could carry the load rejected 4,618 attempts in a day and
+ * scored a fifth lower than without a bound. The bound had been derived from the
+ * callers' retry interval of 400 ms, but callers wait 2 s or more for a shared
+ * command; with the bound at that timeout the same day had 162 rejections.
+ */
+test("a leader near its capacity rejects nothing because of short stalls", (t) => {
+  const leader = new SimulatedLeader();
   for (let now = 0; now < 30_000; now += 10) {
-    askMany(leader, URGENCIES.START, { count: 4, now });
-    askMany(leader, URGENCIES.CONTINUE, { count: 5, now });
-    const isStanding = now % 3_000 >= 2_700;
-    leader.commit(isStanding ? 0 : 11, now + 10);
+    proposeMany(leader, URGENCIES.START, { count: 4, now });
+    proposeMany(leader, URGENCIES.CONTINUE, { count: 5, now });
+    const isStalled = now % 3_000 >= 2_700;
+    leader.commit(isStalled ? 0 : 11, now + 10);
   }
   t.equal(leader.refused.start + leader.refused.continue, 0);
-  t.ok(leader.longest.continue > 300, "some waited longer than the pause");
+  t.ok(leader.longestWait.continue > 300, "some waited longer than the stall");
   t.end();
 });
 
 /*
- * Two states that look alike for a moment: a quorum that stands still and goes
- * on as before, and one that has become slow. In the first a refusal costs more
- * than the wait; in the second what is let in waits for nothing.
+ * The next two tests tell apart a quorum that pauses and then continues at its
+ * former rate from one that has become slow. During a pause a rejection costs
+ * more than the wait; at a slow quorum, admitted commands time out.
  */
-test("a quorum that is silent for some hundred ms refuses nobody", (t) => {
+test("a quorum that pauses for 200 to 450 ms causes no rejections", (t) => {
   const plan = fc.record({
     begin: fc.integer({ min: 100, max: 400 }),
     length: fc.integer({ min: 20, max: 45 }),
@@ -199,13 +230,13 @@
   });
   fc.assert(
     fc.property(plan, ({ begin, length, pace }) => {
-      const leader = new Leader();
+      const leader = new SimulatedLeader();
       for (let step = 0; step < 800; step++) {
         const now = step * 10;
-        askMany(leader, URGENCIES.START, { count: 3, now });
-        askMany(leader, URGENCIES.CONTINUE, { count: 7, now });
-        const isSilent = step >= begin && step < begin + length;
-        leader.commit(isSilent ? 0 : pace, now + 10);
+        proposeMany(leader, URGENCIES.START, { count: 3, now });
+        proposeMany(leader, URGENCIES.CONTINUE, { count: 7, now });
+        const isPaused = step >= begin && step < begin + length;
+        leader.commit(isPaused ? 0 : pace, now + 10);
       }
       return leader.refused.start + leader.refused.continue === 0;
     }),
@@ -214,40 +245,40 @@
   t.end();
 });
 
-test("a pace of a sixth for 5 s builds up no queue for nobody, and is over soon after", (t) => {
+test("5 s at a sixth of the commit rate cause few late commits, and rejections end within a second", (t) => {
   const plan = fc.record({
     begin: fc.integer({ min: 100, max: 400 }),
-    /** A slow quorum answers in batches. */
+    /** Steps between the commits of a slow quorum, which commits in batches. */
     batch: fc.integer({ min: 1, max: 10 }),
   });
   fc.assert(
     fc.property(plan, ({ begin, batch }) => {
-      const leader = new Leader();
+      const leader = new SimulatedLeader();
       const end = begin + 500;
-      const ask = (step: number) => {
-        askMany(leader, URGENCIES.START, { count: 3, now: step * 10 });
-        askMany(leader, URGENCIES.CONTINUE, { count: 7, now: step * 10 });
+      const propose = (step: number) => {
+        proposeMany(leader, URGENCIES.START, { count: 3, now: step * 10 });
+        proposeMany(leader, URGENCIES.CONTINUE, { count: 7, now: step * 10 });
       };
       for (let step = 0; step < end; step++) {
-        ask(step);
+        propose(step);
         const isSlow = step >= begin;
         const most = isSlow ? (step % batch === 0 ? 2 * batch : 0) : 12;
         leader.commit(most, (step + 1) * 10);
       }
       t.ok(
         leader.decided.late < leader.decided.all / 20,
-        `${leader.decided.late} of ${leader.decided.all} were for nobody`,
+        `${leader.decided.late} of ${leader.decided.all} committed too late`,
       );
       for (let step = end; step < end + 100; step++) {
-        ask(step);
+        propose(step);
         leader.commit(12, (step + 1) * 10);
       }
       const refused = { ...leader.refused };
       for (let step = end + 100; step < end + 300; step++) {
-        ask(step);
+        propose(step);
         leader.commit(12, (step + 1) * 10);
       }
-      t.same(leader.refused, refused, "back after a second");
+      t.same(leader.refused, refused, "no rejections after a second");
     }),
     { seed: SEED, numRuns: 40 },
   );
--- a/packages/consensus/src/group/replicated_group.ts
+++ b/packages/consensus/src/group/replicated_group.ts
@@ -35,7 +35,11 @@
 import { IncomingSnapshot } from "./incoming_snapshot.ts";
 import { judgeVote, VOTE_OUTCOMES, type Voter } from "./judge_vote.ts";
 import { Leadership } from "./leadership.ts";
-import { ProposalGate, URGENCIES, type Urgency } from "./proposal_gate.ts";
+import {
+  AdmissionController,
+  URGENCIES,
+  type Urgency,
+} from "./proposal_gate.ts";
 import { encodeMembers, type Membership } from "./membership.ts";
 import { ReplicaTerm } from "./replica_term.ts";
 
@@ -62,7 +66,7 @@
   readonly #incoming = new IncomingSnapshot();
   readonly #stopped = new AbortController();
   readonly #report: GroupReport;
-  readonly #gate = new ProposalGate();
+  readonly #admission = new AdmissionController();
   readonly #elections: Elections;
   readonly #term: ReplicaTerm;
   #leader = "";
@@ -183,7 +187,7 @@
   ): Promise<Outcome<Applied>> {
     if (!this.#isEstablished || this.#isHandingOver) return this.#refuse();
     const now = performance.now();
-    const retryAfter = this.#gate.judge(
+    const retryAfter = this.#admission.checkAdmission(
       urgency,
       this.#applier.waiting,
       now,
@@ -196,8 +200,8 @@
   findPressure(urgency: Urgency, now: number): Pressure {
     const { waiting } = this.#applier;
     return {
-      part: this.#gate.findPressure(urgency, waiting, now),
-      comeBackMilliseconds: this.#gate.findComeBack(waiting, now),
+      part: this.#admission.findLoadRatio(urgency, waiting, now),
+      comeBackMilliseconds: this.#admission.findRetryAfter(waiting, now),
     };
   }
 
@@ -457,7 +461,7 @@
     const pendingCost = this.#applier.waiting.cost;
     this.#applier.commitUntil(index);
     const cost = pendingCost - this.#applier.waiting.cost;
-    if (cost > 0) this.#gate.noteCommitted(cost, performance.now());
+    if (cost > 0) this.#admission.recordCommit(cost, performance.now());
   }
 
   async #establishLeadership(leadership: Leadership): Promise<void> {
