--- a/packages/consensus/src/group/choose_warm_spares.ts
+++ b/packages/consensus/src/group/choose_warm_spares.ts
@@ -1,14 +1,12 @@
 /**
- * Which members without a vote get the entries of their group. Nothing here
- * needs a network.
+ * Chooses the members without a vote that receive the entries of their group.
  *
- * The load it answers: a group of a few voters on a site of many stores. A copy
- * at each of them costs the leader a message and an answer, and the ways between
- * failure domains the bytes, which no commit waits for and no loss needs.
- *
- * What it buys: as many copies as there may be losses, whatever the size of the
- * site. The others hear their leader a few times a second, hold nothing, and
- * are brought up to date when a warm one is lost or gets a vote.
+ * On a site of many stores, a copy at every store would cost the leader a
+ * message and a reply per batch, and traffic between failure domains, without
+ * helping commits or fault tolerance. So only as many spares as voters may be
+ * lost receive entries, whatever the size of the site. The other spares receive
+ * only heartbeats, hold no entries, and are brought up to date when a warm spare
+ * is lost or becomes a voter.
  */
 
 import type { Member } from "@mallowlift/core";
@@ -17,28 +15,30 @@
 /** A member without a vote as the leader sees it. */
 export interface SpareView {
   readonly member: Member;
-  /** True if it gets entries now. */
+  /** True if the member receives entries now. */
   readonly isWarm: boolean;
-  /** Last entry that it is thought to hold. */
+  /** Highest index that the member has reported. */
   readonly lastIndex: number;
+  /** Time since the member's latest reply. */
   readonly silentMilliseconds: number;
 }
 
-/** What the choice goes by. */
+/** Size of the group and the time limits for the choice. */
 export interface WarmLimits {
   /** Voters that the group should have. */
   readonly voterCount: number;
-  /** Voters, by whose failure domains spares are spread. */
+  /** Current voters; spares are spread over failure domains with few of them. */
   readonly voters: readonly Member[];
-  /** Silence after which a warm spare is given up, ms. */
+  /** Time without a reply after which a warm spare is replaced, ms. */
   readonly lostMilliseconds: number;
-  /** Silence up to which a spare may become warm, ms. */
+  /** Longest time without a reply at which a spare may become warm, ms. */
   readonly freshMilliseconds: number;
 }
 
 /**
- * Chooses the spares that get entries: as many as voters may be lost at once,
- * one at least, and more while voters are missing.
+ * Chooses the spares that receive entries: as many as voters may be lost at
+ * once, at least one, and one more for each missing voter. Warm spares that are
+ * not lost stay warm.
  *
  * @example
  * ```ts
@@ -52,26 +52,29 @@
 ): ReadonlySet<Member> {
   const { voterCount, voters } = limits;
   const missing = Math.max(0, voterCount - voters.length);
-  const wanted = missing + Math.max(1, Math.floor((voterCount - 1) / 2));
+  const wantedCount = missing + Math.max(1, Math.floor((voterCount - 1) / 2));
   const warm = new Set<Member>();
   for (const spare of spares) {
     const isKept = spare.isWarm &&
       spare.silentMilliseconds <= limits.lostMilliseconds;
-    if (isKept && warm.size < wanted) warm.add(spare.member);
+    if (isKept && warm.size < wantedCount) warm.add(spare.member);
   }
   const candidates = spares.filter((spare) =>
     spare.silentMilliseconds <= limits.freshMilliseconds
   );
-  while (warm.size < wanted) {
-    const next = findNext(candidates, { warm, voters });
+  while (warm.size < wantedCount) {
+    const next = chooseNext(candidates, { warm, voters });
     if (next === undefined) break;
     warm.add(next);
   }
   return warm;
 }
 
-/** The candidate whose failure domain has the fewest copies, then the fullest. */
-function findNext(
+/**
+ * Returns the candidate in the failure domain with the fewest copies; among
+ * equals the one with the most entries.
+ */
+function chooseNext(
   candidates: readonly SpareView[],
   chosen: {
     readonly warm: ReadonlySet<Member>;
@@ -80,18 +83,20 @@
 ): Member | undefined {
   const { warm, voters } = chosen;
   const copies = [...voters, ...warm];
-  let best: { readonly spare: SpareView; readonly near: number } | undefined;
+  let best:
+    | { readonly spare: SpareView; readonly copyCount: number }
+    | undefined;
   for (const spare of candidates) {
     if (warm.has(spare.member)) continue;
-    const near = countInDomain(copies, spare.member.failureDomain);
-    const isBetter = best === undefined || near < best.near ||
-      (near === best.near && isPreferred(spare, best.spare));
-    if (isBetter) best = { spare, near };
+    const copyCount = countInDomain(copies, spare.member.failureDomain);
+    const isBetter = best === undefined || copyCount < best.copyCount ||
+      (copyCount === best.copyCount && isPreferred(spare, best.spare));
+    if (isBetter) best = { spare, copyCount };
   }
   return best?.spare.member;
 }
 
-/** Less to send goes first; the name decides where nothing else does. */
+/** Prefers the spare with more entries, then the lower replica id. */
 function isPreferred(spare: SpareView, other: SpareView): boolean {
   if (spare.lastIndex !== other.lastIndex) {
     return spare.lastIndex > other.lastIndex;
--- a/packages/consensus/src/group/choose_warm_spares_test.ts
+++ b/packages/consensus/src/group/choose_warm_spares_test.ts
@@ -23,14 +23,14 @@
 
 function makeSpare(
   member: Member,
-  facts: Partial<SpareView> = {},
+  overrides: Partial<SpareView> = {},
 ): SpareView {
   return {
     member,
     isWarm: false,
     lastIndex: 0,
     silentMilliseconds: 0,
-    ...facts,
+    ...overrides,
   };
 }
 
@@ -38,37 +38,37 @@
 const VOTERS = DOMAINS.map((domain) =>
   makeMember(1, domain, MEMBER_ROLES.VOTER)
 );
-/** A site of 24 stores: 5 voters, and 19 others in five failure domains. */
-const MANY = Array.from(
+/** Spares of a site of 24 stores: 19 beside 5 voters, in five failure domains. */
+const SPARES = Array.from(
   { length: 19 },
   (_, index) => makeSpare(makeMember(2 + index, DOMAINS[index % 5] ?? "")),
 );
 
-test("a large site keeps as many copies as a small one", (t) => {
+test("the number of warm spares does not grow with the site", (t) => {
   const limits = { ...LIMITS, voterCount: 5, voters: VOTERS };
-  t.equal(chooseWarmSpares(MANY, limits).size, 2);
-  t.equal(chooseWarmSpares(MANY.slice(0, 3), limits).size, 2);
-  t.equal(chooseWarmSpares(MANY.slice(0, 1), limits).size, 1);
+  t.equal(chooseWarmSpares(SPARES, limits).size, 2);
+  t.equal(chooseWarmSpares(SPARES.slice(0, 3), limits).size, 2);
+  t.equal(chooseWarmSpares(SPARES.slice(0, 1), limits).size, 1);
   const small = { ...LIMITS, voterCount: 1, voters: VOTERS.slice(0, 1) };
-  t.equal(chooseWarmSpares(MANY, small).size, 1);
+  t.equal(chooseWarmSpares(SPARES, small).size, 1);
   t.end();
 });
 
-test("a spare for each voter that is missing comes on top", (t) => {
+test("each missing voter adds a warm spare", (t) => {
   const voters = VOTERS.slice(0, 3);
-  const warm = chooseWarmSpares(MANY, { ...LIMITS, voterCount: 5, voters });
+  const warm = chooseWarmSpares(SPARES, { ...LIMITS, voterCount: 5, voters });
   t.equal(warm.size, 4);
   t.end();
 });
 
-test("copies lie in failure domains that have the fewest", (t) => {
+test("spares are chosen in failure domains with the fewest copies", (t) => {
   const voters = VOTERS.slice(0, 3);
-  const warm = chooseWarmSpares(MANY, { ...LIMITS, voterCount: 3, voters });
+  const warm = chooseWarmSpares(SPARES, { ...LIMITS, voterCount: 3, voters });
   t.same([...warm].map((member) => member.failureDomain), ["d"]);
   t.end();
 });
 
-test("a warm spare stays until it is lost, and the fullest takes its place", (t) => {
+test("a warm spare stays until it is lost, then the spare with the most entries replaces it", (t) => {
   const [first, second, third] = DOMAINS.map((domain) => makeMember(2, domain));
   if (!first || !second || !third) throw new Error("Too few members");
   const limits = { ...LIMITS, voterCount: 3, voters: VOTERS.slice(0, 3) };
@@ -81,12 +81,12 @@
       makeSpare(first, { isWarm: true, silentMilliseconds }),
       ...others,
     ], limits);
-  t.same([...choose(1_500)], [first], "a hiccup moves nothing");
-  t.same([...choose(1_700)], [third], "a loss does");
+  t.same([...choose(1_500)], [first], "a short silence changes nothing");
+  t.same([...choose(1_700)], [third], "a lost spare is replaced");
   t.end();
 });
 
-test("whoever is silent does not become warm, and nobody is chosen twice", (t) => {
+test("silent spares do not become warm, and no spare is chosen twice", (t) => {
   const spares = fc.array(
     fc.record({
       isWarm: fc.boolean(),
--- a/packages/consensus/src/group/peer_replication.ts
+++ b/packages/consensus/src/group/peer_replication.ts
@@ -18,7 +18,7 @@
 import type { StoredSnapshot } from "../storage/snapshot_store.ts";
 import { sendSnapshot } from "./send_snapshot.ts";
 import { noteSnapshot, SNAPSHOT_KINDS } from "./snapshot_times.ts";
-import { findSpareWait } from "./spare_pace.ts";
+import { findSpareBatchDelay } from "./spare_pace.ts";
 
 const RETRY_MILLISECONDS = 20;
 /**
@@ -159,7 +159,7 @@
     if (!this.#receivesEntries()) return Infinity;
     const behind = this.#context.log.lastIndex - peer.nextIndex + 1;
     if (isVoter(peer)) return behind > 0 ? 0 : Infinity;
-    return findSpareWait({ behind, sentAt: peer.lastSentAt, now });
+    return findSpareBatchDelay({ behind, sentAt: peer.lastSentAt, now });
   }
 
   async #waitForWork(): Promise<void> {
--- a/packages/consensus/src/group/replica_term.ts
+++ b/packages/consensus/src/group/replica_term.ts
@@ -1,8 +1,11 @@
-/** The term of a replica, and its vote in that term. */
+/** Current term of a replica and its vote in that term. */
 
 import type { DataFolder, StoredGroup } from "../storage/data_folder.ts";
 
-/** Keeps both on disk: a replica that forgot its vote could give it twice. */
+/**
+ * Holds the term and the vote and stores them on disk: a replica that lost its
+ * vote in a restart could vote twice in one term.
+ */
 export class ReplicaTerm {
   readonly #group: number;
   readonly #folder: DataFolder;
@@ -16,24 +19,24 @@
     this.#votedFor = stored.votedFor;
   }
 
-  /** The newest term that this replica knows. */
+  /** Latest term that this replica knows. */
   get number(): number {
     return this.#number;
   }
 
-  /** Who has its vote of this term; empty if nobody has. */
+  /** Id of the candidate that has its vote in this term; empty if none has. */
   get votedFor(): string {
     return this.#votedFor;
   }
 
-  /** Goes to a later term, in which nobody has the vote yet. */
+  /** Moves to a later term and clears the vote. */
   advance(term: number): void {
     this.#number = term;
     this.#votedFor = "";
     void this.#save();
   }
 
-  /** Gives the vote of this term; resolves when it is on disk. */
+  /** Votes for a candidate in this term; resolves when the vote is on disk. */
   async voteFor(replicaId: string): Promise<void> {
     this.#votedFor = replicaId;
     await this.#save();
--- a/packages/consensus/src/group/send_snapshot.ts
+++ b/packages/consensus/src/group/send_snapshot.ts
@@ -1,4 +1,4 @@
-/** Sends a snapshot to a member that lacks entries the leader no longer has. */
+/** Sends a snapshot to a member that lacks entries which the leader has dropped. */
 
 import {
   describeThrown,
@@ -14,22 +14,23 @@
 
 const CHUNK_BYTES = 262_144;
 const CHUNK_TIMEOUT_MILLISECONDS = 5_000;
-/** Chunks that are sent before the first of them is acknowledged. */
+/** Limit on chunks in flight. */
 const CHUNKS_IN_FLIGHT = 4;
 
-/** Where a snapshot goes, and from whom. */
+/** Sender and receiver of a snapshot. */
 export interface SnapshotTarget {
   readonly caller: Caller;
   readonly term: number;
   readonly from: ReplicaIdentity;
   readonly toIncarnation: string;
-  /** False once the sender no longer leads. */
+  /** Returns false once the sender no longer leads. */
   isWanted(): boolean;
 }
 
 /**
- * Sends a snapshot from its file, chunk by chunk in order; returns the answer
- * to the last one, or the first that names a later term.
+ * Sends a snapshot from its file in chunks, in order. Returns the reply to the
+ * last chunk, or the first reply with a later term; fails on the first chunk that
+ * is refused or not answered, and once the sender no longer leads.
  */
 export async function sendSnapshot(
   snapshot: StoredSnapshot,
@@ -59,7 +60,7 @@
 }
 
 function sendChunk(
-  part: Uint8Array,
+  chunk: Uint8Array,
   details: {
     readonly snapshot: StoredSnapshot;
     readonly target: SnapshotTarget;
@@ -75,7 +76,7 @@
     toIncarnation: target.toIncarnation,
     size: snapshot.size,
     offset,
-    part,
+    part: chunk,
     last,
   }, { timeoutMilliseconds: CHUNK_TIMEOUT_MILLISECONDS });
 }
--- a/packages/consensus/src/group/send_snapshot_test.ts
+++ b/packages/consensus/src/group/send_snapshot_test.ts
@@ -17,8 +17,8 @@
 const CHUNK_BYTES = 262_144;
 const TERM = 3;
 const ACCEPTED: Outcome<SnapshotReply> = Ok({ term: TERM, accepted: true });
-/** Turns of the event loop in which all that can be sent is sent. */
-const TURNS = 50;
+/** Event loop turns after which all chunks that may be sent have been sent. */
+const EVENT_LOOP_TURNS = 50;
 
 interface SentChunk {
   readonly offset: number;
@@ -26,8 +26,8 @@
   readonly answer: Deferred<Outcome<SnapshotReply>>;
 }
 
-/** A snapshot of so many chunks on its way to a member that answers when told to. */
-function send(chunks: number) {
+/** Starts the transfer of a snapshot; the test resolves the reply to each chunk. */
+function startTransfer(chunks: number) {
   const size = chunks * CHUNK_BYTES - 1;
   const sent: SentChunk[] = [];
   const snapshot = {
@@ -52,14 +52,14 @@
 }
 
 async function settle(): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn++) await nextTurn();
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn++) await nextTurn();
 }
 
-// Guards against a transfer that waits for a round trip with each chunk.
-test("chunks of a snapshot do not wait for each other's answers", async (t) => {
-  const { sent, ended } = send(10);
+// Guards against a transfer that waits for a round trip after each chunk.
+test("several chunks of a snapshot are in flight at once", async (t) => {
+  const { sent, ended } = startTransfer(10);
   await settle();
-  t.equal(sent.length, 4, "some are on their way, not all");
+  t.equal(sent.length, 4, "only some chunks are in flight");
   for (let chunk = 0; chunk < 10; chunk++) {
     sent[chunk]?.answer.resolve(ACCEPTED);
     await settle();
@@ -67,7 +67,7 @@
   t.same(
     sent.map(({ offset }) => offset),
     Array.from({ length: 10 }, (_, chunk) => chunk * CHUNK_BYTES),
-    "each once, in order",
+    "each chunk is sent once, in order",
   );
   t.same(sent.filter(({ last }) => last).length, 1);
   t.ok((await ended).ok);
@@ -75,7 +75,7 @@
 
 test("a refused chunk ends the transfer, also if it is the last", async (t) => {
   for (const refused of [0, 2]) {
-    const { sent, ended } = send(3);
+    const { sent, ended } = startTransfer(3);
     await settle();
     for (const [number, { answer }] of sent.entries()) {
       const isRefused = number === refused;
@@ -87,12 +87,12 @@
   }
 });
 
-test("a later term is told, and a lost answer ends the transfer", async (t) => {
-  const newer = send(3);
+test("a reply with a later term is returned, and a lost reply ends the transfer", async (t) => {
+  const newer = startTransfer(3);
   await settle();
   newer.sent[0]?.answer.resolve(Ok({ term: TERM + 1, accepted: false }));
   t.equal((await newer.ended).unwrap().term, TERM + 1);
-  const lost = send(3);
+  const lost = startTransfer(3);
   await settle();
   lost.sent[0]?.answer.resolve(fail(RESULT_CODES.TIMEOUT, "No answer"));
   t.ok((await lost.ended).err);
--- a/packages/consensus/src/group/snapshot_times.ts
+++ b/packages/consensus/src/group/snapshot_times.ts
@@ -1,8 +1,8 @@
-/** How long snapshots take, as metrics. */
+/** Metrics of the time that snapshots take. */
 
 import type { GroupOptions } from "./group_options.ts";
 
-/** What was done with a snapshot. */
+/** Operations on a snapshot. */
 export const SNAPSHOT_KINDS = {
   WRITTEN: "written",
   INSTALLED: "installed",
@@ -13,7 +13,7 @@
 export type SnapshotKind = typeof SNAPSHOT_KINDS[keyof typeof SNAPSHOT_KINDS];
 
 /**
- * Counts one snapshot.
+ * Records the duration of one operation on a snapshot.
  *
  * @example
  * ```ts
--- a/packages/consensus/src/slow_members_test.ts
+++ b/packages/consensus/src/slow_members_test.ts
@@ -4,9 +4,10 @@
 
 const IDS = ["r1", "r2", "r3"];
 
-test("a slow way carries entries once, and the leader stays", async (t) => {
+test("over a slow connection entries are sent once and the leader stays", async (t) => {
   const cluster = createCluster(t, { ids: IDS });
-  // A message of entries takes half of this on the slow way, all of them far more.
+  // On the slow connection one message of entries takes half of this timeout,
+  // and all entries take far more.
   cluster.electionMilliseconds = 600;
   await cluster.start();
   await cluster.commit("before");
@@ -28,14 +29,14 @@
   const isDone = () =>
     IDS.every((id) => cluster.readCommands(id).length === 41);
   await cluster.waitFor("all replicas applied", isDone);
-  t.equal(cluster.getGroup(leader)?.term, term, "nobody else was elected");
+  t.equal(cluster.getGroup(leader)?.term, term, "no other leader was elected");
   for (const [index, bytes] of count().entries()) {
     const sent = bytes - (before[index] ?? 0);
     t.ok(sent < 1.2 * 40 * filling.length, "entries were sent once");
   }
 });
 
-test("a spare gets its entries after a quorum that is behind", async (t) => {
+test("a spare receives its entries after a quorum that lags", async (t) => {
   const ids = [...IDS, "s1"];
   const cluster = createCluster(t, { ids, standbys: ["s1"] });
   cluster.electionMilliseconds = 1_000;
@@ -59,7 +60,7 @@
   await cluster.waitFor("all replicas applied, the spare too", isDone);
 });
 
-test("a leader whose disk stalls commits what the others have on disk", async (t) => {
+test("a leader whose disk stalls commits entries that the others have on disk", async (t) => {
   const cluster = createCluster(t, { ids: IDS });
   await cluster.start();
   await cluster.commit("before");
@@ -70,14 +71,14 @@
   const isApplied = () => cluster.readCommands(leader).includes("stalled");
   await cluster.waitFor("the leader applied", isApplied);
   const applied = await waitAtMost(proposed, 10_000);
-  t.ok(applied?.ok, "the proposer is told before the disk answers");
+  t.ok(applied?.ok, "the proposal is answered while the disk stalls");
   stall.release();
   await cluster.commit("after");
   const isDone = () => IDS.every((id) => cluster.readCommands(id).length === 3);
   await cluster.waitFor("all replicas applied", isDone);
 });
 
-test("a member that lags a little is sent entries, also after a snapshot of the leader", async (t) => {
+test("a member with a small lag is sent entries, even after the leader took a snapshot", async (t) => {
   const ids = [...IDS, "s1"];
   const cluster = createCluster(t, {
     ids,
@@ -92,7 +93,7 @@
     cluster.readCommands(id).length === count;
   await cluster.waitFor("the spare follows", () => hasAll("s1", 1));
   const restores = cluster.countRestores("s1");
-  // The spare takes some 300 entries a second of the 500 that are proposed.
+  // The connection carries some 300 entries a second, and 500 are proposed.
   cluster.slowWay(leader, "s1", 300_000);
   const filling = "x".repeat(900);
   const proposing: Promise<unknown>[] = [];
@@ -106,5 +107,5 @@
     (cluster.getGroup(leader)?.describe(0).snapshotIndex ?? 0) > 0;
   await cluster.waitFor("the leader has dropped entries", isTaken);
   await cluster.waitFor("the spare has all", () => hasAll("s1", 1_101));
-  t.equal(cluster.countRestores("s1"), restores, "no whole state was sent");
+  t.equal(cluster.countRestores("s1"), restores, "no snapshot was sent");
 });
--- a/packages/consensus/src/warm_spares_test.ts
+++ b/packages/consensus/src/warm_spares_test.ts
@@ -1,6 +1,7 @@
 /**
- * The load: a site of nine stores that needs three. Each copy beyond the voters
- * and one warm spare costs the leader a message and an answer for every batch.
+ * Guards against replication to every store: on a site of nine stores with three
+ * voters, each copy beyond the voters and one warm spare costs the leader a
+ * message and a reply for every batch.
  */
 
 import { MEMBER_ROLES } from "@mallowlift/core";
@@ -11,10 +12,10 @@
 const VOTERS = ["r1", "r2", "r3"];
 const SPARES = ["s1", "s2", "s3", "s4", "s5", "s6"];
 const COMMANDS = 40;
-/** What a command carries, so that copies show in the bytes of a way. */
-const FILLING = "x".repeat(2_000);
+/** Content of each command, so that copies show in the bytes of a connection. */
+const PADDING = "x".repeat(2_000);
 
-async function startSite(t: Test): Promise<TestCluster> {
+async function startCluster(t: Test): Promise<TestCluster> {
   const cluster = createCluster(t, {
     ids: [...VOTERS, ...SPARES],
     standbys: SPARES,
@@ -28,7 +29,7 @@
   return SPARES.filter((id) => cluster.readCommands(id).includes(name));
 }
 
-/** Waits until one spare holds a command; returns it. */
+/** Waits until a spare holds a command; returns the id of the spare. */
 async function waitForHolder(
   cluster: TestCluster,
   name: string,
@@ -40,37 +41,37 @@
   return listHolders(cluster, name)[0] ?? "";
 }
 
-test("one of six spares gets the entries", async (t) => {
-  const cluster = await startSite(t);
+test("one of six spares receives the entries", async (t) => {
+  const cluster = await startCluster(t);
   await waitForHolder(cluster, "before");
   const leader = await cluster.waitForLeader();
   const before = SPARES.map((id) => cluster.countBytes(leader, id));
   for (let number = 0; number < COMMANDS; number++) {
-    await cluster.commit(`${number}${FILLING}`);
+    await cluster.commit(`${number}${PADDING}`);
   }
-  const last = `${COMMANDS - 1}${FILLING}`;
+  const last = `${COMMANDS - 1}${PADDING}`;
   const holder = await waitForHolder(cluster, last);
   t.same(listHolders(cluster, last), [holder]);
   for (const [index, id] of SPARES.entries()) {
     if (id === holder) continue;
     const bytes = cluster.countBytes(leader, id) - (before[index] ?? 0);
-    t.ok(bytes < FILLING.length * COMMANDS / 4, `${id} got ${bytes} bytes`);
+    t.ok(bytes < PADDING.length * COMMANDS / 4, `${id} got ${bytes} bytes`);
   }
 });
 
 test("another spare takes the place of a warm one that is lost", async (t) => {
-  const cluster = await startSite(t);
+  const cluster = await startCluster(t);
   const first = await waitForHolder(cluster, "before");
   await cluster.crash(first);
   await cluster.waitFor(
-    "another one holds the command",
+    "another spare holds the command",
     () => listHolders(cluster, "before").some((id) => id !== first),
   );
   t.pass();
 });
 
-test("a lost voter is replaced, and the next spare becomes warm", async (t) => {
-  const cluster = await startSite(t);
+test("a lost voter is replaced, and another spare becomes warm", async (t) => {
+  const cluster = await startCluster(t);
   const first = await waitForHolder(cluster, "before");
   const leader = await cluster.waitForLeader();
   const lost = VOTERS.find((id) => id !== leader) ?? "";
@@ -84,7 +85,7 @@
     () => listVoters().includes(first) && !listVoters().includes(lost),
   );
   await cluster.waitFor(
-    "another one holds the command",
+    "another spare holds the command",
     () => listHolders(cluster, "before").some((id) => id !== first),
   );
   t.equal(listVoters().length, VOTERS.length);
