--- a/packages/consensus/src/group/peer_replication.ts
+++ b/packages/consensus/src/group/peer_replication.ts
@@ -18,7 +18,7 @@
 import type { StoredSnapshot } from "../storage/snapshot_store.ts";
 import { sendSnapshot } from "./send_snapshot.ts";
 import { noteSnapshot, SNAPSHOT_KINDS } from "./snapshot_times.ts";
-import { findSpareBatchDelay } from "./spare_pace.ts";
+import { findSpareBatchDelay } from "./spare_batching.ts";
 
 const RETRY_MILLISECONDS = 20;
 /**
--- a/packages/consensus/src/group/spare_pace_test.ts
+++ b/packages/consensus/src/group/spare_batching_test.ts
@@ -3,7 +3,7 @@
   findSpareBatchDelay,
   SPARE_BATCH_DELAY_MILLISECONDS,
   SPARE_BATCH_ENTRIES,
-} from "./spare_pace.ts";
+} from "./spare_batching.ts";
 
 test("a spare that lacks no entries is sent none", (t) => {
   t.equal(findSpareBatchDelay({ behind: 0, sentAt: 0, now: 9_000 }), Infinity);
