--- a/packages/consensus/src/group/replicated_group.ts
+++ b/packages/consensus/src/group/replicated_group.ts
@@ -44,7 +44,7 @@
 import { ReplicaTerm } from "./replica_term.ts";
 
 /** Load of a leader by commands that are not committed yet. */
-export interface Pressure {
+export interface ProposalLoad {
   /**
    * Expected wait divided by the longest wait at which a command is accepted:
    * 0 if few entries are pending, above 1 if a command would be rejected.
@@ -197,7 +197,7 @@
   }
 
   /** Returns how close the leader is to rejecting a command of this urgency, and the retry delay. */
-  findPressure(urgency: Urgency, now: number): Pressure {
+  findPressure(urgency: Urgency, now: number): ProposalLoad {
     const { waiting } = this.#applier;
     return {
       part: this.#admission.findLoadRatio(urgency, waiting, now),
