--- a/packages/programs/src/budget.ts
+++ b/packages/programs/src/budget.ts
@@ -1,67 +1,77 @@
-/** Budgets: what a call may take, and from whom. */
+/**
+ * Reserves and charges the tokens of calls against the budgets of a program and
+ * its ancestors.
+ */
 
 import { type CallBody, measureMessages, type Usage } from "@mallowlift/core";
 import type { ProgramRecord } from "./program_records.ts";
 
-/** Finds a program by its id. */
+/** Returns a program by its id. */
 export type FindProgram = (programId: string) => ProgramRecord | undefined;
 
 /**
- * Most tokens that a call can take: what it sends, and the answer's limit.
+ * Returns the maximum number of tokens that a call can use: its messages plus
+ * the limit on the answer.
  *
  * @example
  * ```ts
- * measureReservation({ kind: "model", model, messages, maxTokens: 100 });
+ * computeReservation({ kind: "model", model, messages, maxTokens: 100 });
  * ```
  */
-export function measureReservation(body: CallBody): number {
+export function computeReservation(body: CallBody): number {
   if (body.kind === "service") return 0;
   return measureMessages(body.messages) + body.maxTokens;
 }
 
-/** Tokens that an answered call took; never more than its reservation. */
-export function measureTaken(body: CallBody, usage: Usage): number {
+/**
+ * Returns the tokens that an answered call used; never more than its
+ * reservation.
+ */
+export function computeUsedTokens(body: CallBody, usage: Usage): number {
   if (body.kind === "service") return 0;
   const generated = Math.min(usage.completionTokens, body.maxTokens);
   return measureMessages(body.messages) + generated;
 }
 
-/** Returns true if a program and all its ancestors can spare the tokens. */
+/**
+ * Returns true if the budgets of a program and all its ancestors allow the
+ * tokens.
+ */
 export function canReserve(
   program: ProgramRecord,
   tokens: number,
   find: FindProgram,
 ): boolean {
-  for (const payer of listPayers(program, find)) {
-    const taken = payer.tokensUsed + payer.tokensReserved;
-    if (taken + tokens > payer.spec.tokenBudget) return false;
+  for (const charged of listChargedPrograms(program, find)) {
+    const committed = charged.tokensUsed + charged.tokensReserved;
+    if (committed + tokens > charged.spec.tokenBudget) return false;
   }
   return true;
 }
 
-/** Changes what a program and all its ancestors have reserved and used. */
-export function moveTokens(
+/** Adds to the reserved and used tokens of a program and all its ancestors. */
+export function adjustTokens(
   program: ProgramRecord,
   change: { readonly reserved: number; readonly used: number },
   find: FindProgram,
 ): void {
-  for (const payer of listPayers(program, find)) {
-    payer.tokensReserved += change.reserved;
-    payer.tokensUsed += change.used;
+  for (const charged of listChargedPrograms(program, find)) {
+    charged.tokensReserved += change.reserved;
+    charged.tokensUsed += change.used;
   }
 }
 
-function listPayers(
+function listChargedPrograms(
   program: ProgramRecord,
   find: FindProgram,
 ): readonly ProgramRecord[] {
-  const payers = [program];
+  const charged = [program];
   let parent = program.spec.parent;
   while (parent !== undefined) {
-    const payer = find(parent);
-    if (payer === undefined) break;
-    payers.push(payer);
-    parent = payer.spec.parent;
+    const ancestor = find(parent);
+    if (ancestor === undefined) break;
+    charged.push(ancestor);
+    parent = ancestor.spec.parent;
   }
-  return payers;
+  return charged;
 }
--- a/packages/programs/src/call_commands.ts
+++ b/packages/programs/src/call_commands.ts
@@ -1,4 +1,4 @@
-/** How each command on calls changes the state. */
+/** Applies the commands on calls to the replicated state. */
 
 import {
   extendDigest,
@@ -11,11 +11,11 @@
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
 import {
+  adjustTokens,
   canReserve,
+  computeReservation,
+  computeUsedTokens,
   type FindProgram,
-  measureReservation,
-  measureTaken,
-  moveTokens,
 } from "./budget.ts";
 import type {
   AcceptCall,
@@ -29,12 +29,15 @@
   type ProgramRecord,
 } from "./program_records.ts";
 
-interface FoundCall {
+interface OpenCall {
   readonly program: ProgramRecord;
   readonly call: CallRecord;
 }
 
-/** Accepts a call; a known request id with the same body returns the known call. */
+/**
+ * Accepts a call. A request id that is already known with the same body returns
+ * the known call.
+ */
 export function acceptCall(
   command: AcceptCall,
   find: FindProgram,
@@ -54,8 +57,8 @@
   }
   const allowed = checkNewCall(program, command, find);
   if (allowed.err) return allowed;
-  const reservation = measureReservation(command.body);
-  moveTokens(program, { reserved: reservation, used: 0 }, find);
+  const reservation = computeReservation(command.body);
+  adjustTokens(program, { reserved: reservation, used: 0 }, find);
   const call: CallRecord = {
     requestId: command.requestId,
     bodyDigest,
@@ -91,7 +94,7 @@
     );
   }
   if (command.attempt !== call.attempt + 1) {
-    return fail(RESULT_CODES.INTERNAL, "The attempt is out of order");
+    return fail(RESULT_CODES.INTERNAL, "The attempt number is out of sequence");
   }
   if (program.ended !== undefined) {
     return fail(RESULT_CODES.PROGRAM_ENDED, "The program has ended");
@@ -100,7 +103,7 @@
   if (call.attempt > 0 && !mayRepeat && !command.previousNeverRan) {
     return fail(
       RESULT_CODES.OUTCOME_UNKNOWN,
-      "The call may have run and may not repeat",
+      "The call may have run and is not idempotent",
     );
   }
   startAttempt(call, command.target);
@@ -122,8 +125,8 @@
       "The answer belongs to an earlier attempt",
     );
   }
-  const used = measureTaken(body, command.end.answer.usage);
-  moveTokens(program, { reserved: -call.reservation, used }, find);
+  const used = computeUsedTokens(body, command.end.answer.usage);
+  adjustTokens(program, { reserved: -call.reservation, used }, find);
   const turn = program.history.length + 1;
   const content = { requestId: call.requestId, body, ...command.end };
   program.digest = extendDigest(program.digest, content);
@@ -136,7 +139,10 @@
   return Ok(call);
 }
 
-/** Takes back a call that never ran. */
+/**
+ * Withdraws a call that has no recorded end, so that its request id can be used
+ * again.
+ */
 export function withdrawCall(
   command: WithdrawCall,
   find: FindProgram,
@@ -147,13 +153,13 @@
   if (command.attempt !== call.attempt) {
     return fail(RESULT_CODES.INTERNAL, "Another attempt has been started");
   }
-  moveTokens(program, { reserved: -call.reservation, used: 0 }, find);
+  adjustTokens(program, { reserved: -call.reservation, used: 0 }, find);
   program.calls.delete(call.requestId);
   closeCall(program, call, command.now);
   return Ok(call);
 }
 
-/** Checks whether a program may make one more call. */
+/** Checks whether a program may start another call. */
 export function checkNewCall(
   program: ProgramRecord,
   command: Pick<AcceptCall, "now" | "openLimit" | "body">,
@@ -161,7 +167,7 @@
 ): Outcome<void> {
   const allowed = checkLimits(program, command);
   if (allowed.err) return allowed;
-  if (canReserve(program, measureReservation(command.body), find)) {
+  if (canReserve(program, computeReservation(command.body), find)) {
     return Ok(undefined);
   }
   return fail(
@@ -186,7 +192,7 @@
   if (program.openCalls.length >= command.openLimit) {
     return fail(
       RESULT_CODES.TOO_MANY_CALLS,
-      "Too many calls of the program wait",
+      "The program has too many open calls",
     );
   }
   const turns = program.history.length + program.openCalls.length;
@@ -205,7 +211,7 @@
 function findOpenCall(
   key: { readonly programId: string; readonly requestId: string },
   find: FindProgram,
-): Outcome<FoundCall> {
+): Outcome<OpenCall> {
   const program = find(key.programId);
   const call = program?.calls.get(key.requestId);
   if (
--- a/packages/programs/src/commands.ts
+++ b/packages/programs/src/commands.ts
@@ -1,4 +1,7 @@
-/** Commands of a program group. Each carries the leader's time. */
+/**
+ * Commands in the log of a program group. `now` is the leader's time in
+ * milliseconds since the epoch.
+ */
 
 import type { CallBody, EndReason, ProgramSpec } from "@mallowlift/core";
 import type { AttemptTarget, CallEnd } from "./program_records.ts";
@@ -11,7 +14,10 @@
   readonly spec: ProgramSpec;
 }
 
-/** Accepts a call, reserves its budget, and dispatches it if none is before it. */
+/**
+ * Accepts a call and reserves its budget. Also dispatches it to `target` if no
+ * other call of the program is open.
+ */
 export interface AcceptCall {
   readonly type: "accept_call";
   readonly now: number;
@@ -19,7 +25,7 @@
   readonly outfit: string;
   readonly requestId: string;
   readonly body: CallBody;
-  /** Most open calls that the program may have. */
+  /** Maximum number of open calls of the program. */
   readonly openLimit: number;
   readonly target?: AttemptTarget;
 }
@@ -32,7 +38,7 @@
   readonly requestId: string;
   readonly attempt: number;
   readonly target: AttemptTarget;
-  /** True if the earlier attempt was refused and fenced before it ran. */
+  /** True if the previous attempt was refused or fenced before it ran. */
   readonly previousNeverRan: boolean;
 }
 
@@ -46,7 +52,7 @@
   readonly end: CallEnd;
 }
 
-/** Takes back a call that never ran, so that its request id may come again. */
+/** Withdraws an open call, so that its request id can be used again. */
 export interface WithdrawCall {
   readonly type: "withdraw_call";
   readonly now: number;
@@ -55,7 +61,7 @@
   readonly attempt: number;
 }
 
-/** Ends a program and its children. */
+/** Ends a program and its descendants. */
 export interface EndProgram {
   readonly type: "end_program";
   readonly now: number;
@@ -63,7 +69,7 @@
   readonly reason: EndReason;
 }
 
-/** Forgets an ended root program and its children. */
+/** Deletes an ended root program and its descendants. */
 export interface ForgetProgram {
   readonly type: "forget_program";
   readonly now: number;
--- a/packages/programs/src/program_commands.ts
+++ b/packages/programs/src/program_commands.ts
@@ -1,4 +1,4 @@
-/** How each command on programs changes the state. */
+/** Applies the commands on programs to the replicated state. */
 
 import {
   EMPTY_HISTORY_DIGEST,
@@ -15,7 +15,10 @@
 
 const DEFAULT_PRIORITY = 10;
 
-/** Creates a program; the same spec again returns the known program. */
+/**
+ * Creates a program. A program id that is already known with the same spec
+ * returns the known program.
+ */
 export function createProgram(
   command: CreateProgram,
   find: FindProgram,
@@ -28,7 +31,7 @@
       "The request id was used for another program",
     );
   }
-  const attached = attachToParent(command, find);
+  const attached = addToParent(command, find);
   if (attached.err) return attached;
   return Ok({
     programId: command.programId,
@@ -49,7 +52,10 @@
   });
 }
 
-/** Ends a program and its children. Calls that wait are taken back. */
+/**
+ * Ends a program and its descendants. The owner then withdraws calls that were
+ * not dispatched.
+ */
 export function endProgram(
   command: EndProgram,
   find: FindProgram,
@@ -62,7 +68,10 @@
   return Ok(program);
 }
 
-/** Returns true if a program and everything below it has ended. */
+/**
+ * Returns true if a program and all its descendants have ended and have no open
+ * calls.
+ */
 export function hasTreeEnded(
   program: ProgramRecord,
   find: FindProgram,
@@ -80,8 +89,11 @@
     known.spec.parent === command.spec.parent;
 }
 
-/** Returns the parent, or undefined for a root program. */
-function attachToParent(
+/**
+ * Adds a new program to its parent. Returns the parent, or undefined for a root
+ * program.
+ */
+function addToParent(
   command: CreateProgram,
   find: FindProgram,
 ): Outcome<ProgramRecord | undefined> {
@@ -118,7 +130,7 @@
   }
 }
 
-/** Returns true if a call of the program may be running. */
+/** Returns true if an attempt of an open call of the program may be running. */
 export function hasDispatchedCall(program: ProgramRecord): boolean {
   for (const requestId of program.openCalls) {
     if (program.calls.get(requestId)?.state === CALL_STATES.DISPATCHED) {
--- a/packages/programs/src/program_records.ts
+++ b/packages/programs/src/program_records.ts
@@ -1,4 +1,4 @@
-/** What the replicated state holds of programs and calls. */
+/** Records of programs and calls in the replicated state. */
 
 import type {
   Answer,
@@ -11,18 +11,18 @@
 
 /** States of a call. */
 export const CALL_STATES = {
-  /** Accepted; no attempt was ever dispatched, or all were refused unrun. */
+  /** The call is accepted and no attempt has been dispatched yet. */
   WAITING: "waiting",
-  /** An attempt may be running. */
+  /** An attempt has been dispatched and may be running. */
   DISPATCHED: "dispatched",
-  /** The end is recorded. */
+  /** The end of the call is recorded. */
   ENDED: "ended",
 } as const;
 
 /** One of {@linkcode CALL_STATES}. */
 export type CallState = typeof CALL_STATES[keyof typeof CALL_STATES];
 
-/** Where an attempt was sent. */
+/** The sidecar to which an attempt was sent. */
 export interface AttemptTarget {
   readonly sidecarId: string;
   readonly bootId: string;
@@ -33,16 +33,16 @@
 export interface CallRecord {
   readonly requestId: string;
   readonly bodyDigest: string;
-  /** Kept until the call ends; then it is in the history. */
+  /** Undefined once the call has ended; the body is then in the history. */
   body: CallBody | undefined;
   state: CallState;
-  /** Tokens reserved from the budget while the call is open. */
+  /** Tokens reserved from the budget; 0 once the call has ended. */
   reservation: number;
   readonly acceptedAt: number;
   /** Number of the latest attempt; 0 before the first. */
   attempt: number;
   target: AttemptTarget | undefined;
-  /** Turn that records the end; 0 while the call is open. */
+  /** Number of the turn that records the end; 0 while the call is open. */
   turn: number;
 }
 
@@ -51,14 +51,17 @@
   readonly programId: string;
   readonly spec: ProgramSpec;
   readonly priority: number;
-  /** Wall clock time in milliseconds since the epoch. */
+  /** Wall-clock time in milliseconds since the epoch. */
   readonly deadlineAt: number;
   tokensUsed: number;
   tokensReserved: number;
   digest: string;
   readonly history: HistoryTurn[];
   readonly calls: Map<string, CallRecord>;
-  /** Request ids of open calls, in order of acceptance. */
+  /**
+   * Request ids of open calls in order of acceptance. Only the first may have a
+   * dispatched attempt.
+   */
   readonly openCalls: string[];
   readonly children: string[];
   lastActivityAt: number;
@@ -66,13 +69,13 @@
   endedAt: number;
 }
 
-/** An end of a call, as it is recorded. */
+/** The recorded end of a call. */
 export interface CallEnd {
   readonly code: string;
   readonly answer: Answer;
 }
 
-/** Returns a program as its caller sees it. */
+/** Creates the view of a program that its caller receives. */
 export function viewProgram(program: ProgramRecord): ProgramView {
   return {
     programId: program.programId,
--- a/packages/programs/src/program_state.ts
+++ b/packages/programs/src/program_state.ts
@@ -17,12 +17,12 @@
   readonly calls: readonly CallRecord[];
 }
 
-/** Programs by id. */
+/** The programs of one group by id. */
 export class ProgramState {
   #programs = new Map<string, ProgramRecord>();
   readonly #find = (programId: string) => this.#programs.get(programId);
 
-  /** Number of programs, ended ones included. */
+  /** Number of programs, including ended ones. */
   get size(): number {
     return this.#programs.size;
   }
@@ -32,12 +32,12 @@
     return this.#programs.values();
   }
 
-  /** Returns a program. */
+  /** Returns a program, or undefined if it does not exist. */
   find(programId: string): ProgramRecord | undefined {
     return this.#programs.get(programId);
   }
 
-  /** Returns a program if it belongs to the outfit. */
+  /** Returns a program if it exists and belongs to the outfit. */
   findOwned(programId: string, outfit: string): ProgramRecord | undefined {
     const program = this.#programs.get(programId);
     return program?.spec.outfit === outfit ? program : undefined;
@@ -51,7 +51,7 @@
     if (known.type === "end_call") return endCall(known, this.#find);
     if (known.type === "withdraw_call") return withdrawCall(known, this.#find);
     if (known.type === "end_program") return endProgram(known, this.#find);
-    if (known.type === "forget_program") return this.#forget(known);
+    if (known.type === "forget_program") return this.#forgetProgram(known);
     const created = createProgram(known, this.#find);
     if (created.ok) this.#programs.set(created.val.programId, created.val);
     return created;
@@ -66,7 +66,10 @@
     return [encode(stored)];
   }
 
-  /** Replaces the state by a serialized one. */
+  /**
+   * Replaces the state with a serialized one. An empty snapshot gives an empty
+   * state.
+   */
   restore(snapshot: Uint8Array): void {
     this.#programs = new Map();
     if (snapshot.length === 0) return;
@@ -77,12 +80,12 @@
     }
   }
 
-  #forget(command: ForgetProgram): Outcome<ProgramRecord> {
+  #forgetProgram(command: ForgetProgram): Outcome<ProgramRecord> {
     const program = this.#programs.get(command.programId);
     if (program === undefined || !hasTreeEnded(program, this.#find)) {
       return fail(
         RESULT_CODES.PROGRAM_NOT_FOUND,
-        "There is no ended program with this id",
+        "The program does not exist or has not ended",
       );
     }
     this.#removeTree(program);
--- a/packages/programs/src/program_state_test.ts
+++ b/packages/programs/src/program_state_test.ts
@@ -72,14 +72,17 @@
 const target = fc.constant(TARGET);
 const completionTokens = fc.nat(500);
 
-interface Names {
+interface CommandNames {
   readonly programs: readonly string[];
   readonly requests: readonly string[];
   readonly outfits: readonly string[];
 }
 
-/** Few names make the commands meet; many let them cross. */
-function createCommands(names: Names): fc.Arbitrary<ProgramCommand> {
+/**
+ * Creates random commands. With few names, commands often address the same call;
+ * with many names, commands on different programs interleave.
+ */
+function createCommands(names: CommandNames): fc.Arbitrary<ProgramCommand> {
   const key = {
     now: fc.nat(1_000),
     programId: fc.constantFrom(...names.programs),
@@ -134,7 +137,7 @@
   outfits: ["north", "south"],
 });
 
-const meetingCommand = createCommands({
+const collidingCommand = createCommands({
   programs: ["p1"],
   requests: ["r1", "r2"],
   outfits: ["north"],
@@ -181,10 +184,10 @@
 
 const commandLists = fc.oneof(
   fc.array(command, { maxLength: 60, size: "max" }),
-  fc.array(meetingCommand, { maxLength: 60, size: "max" }),
+  fc.array(collidingCommand, { maxLength: 60, size: "max" }),
 );
 
-test("budgets, order and digests hold after any commands", (t) => {
+test("budgets, call order and history digests stay consistent after any commands", (t) => {
   fc.assert(
     fc.property(commandLists, (commands) => {
       const state = createBase();
@@ -201,7 +204,7 @@
   t.end();
 });
 
-test("a call that may not repeat is never dispatched again unless it never ran", (t) => {
+test("a non-idempotent call is dispatched again only if its previous attempt never ran", (t) => {
   fc.assert(
     fc.property(commandLists, (commands) => {
       const state = createBase();
@@ -210,9 +213,13 @@
           ? state.find(next.programId)?.calls.get(next.requestId)
           : undefined;
         const attemptBefore = call?.attempt ?? 0;
-        const single = call?.body !== undefined && !isIdempotent(call.body);
+        const isNonIdempotent = call?.body !== undefined &&
+          !isIdempotent(call.body);
         state.apply(next);
-        if (next.type !== "dispatch_call" || !single || attemptBefore === 0) {
+        if (
+          next.type !== "dispatch_call" || !isNonIdempotent ||
+          attemptBefore === 0
+        ) {
           continue;
         }
         if (call?.attempt !== attemptBefore && !next.previousNeverRan) {
@@ -226,23 +233,23 @@
   t.end();
 });
 
-test("a snapshot restores to a state that goes on alike", (t) => {
+test("a state restored from a snapshot applies further commands like the original", (t) => {
   fc.assert(
     fc.property(
       fc.array(command, { maxLength: 40 }),
       fc.nat(40),
       (commands, cut) => {
-        const straight = createBase();
+        const uninterrupted = createBase();
         let restored = createBase();
         for (const [position, next] of commands.entries()) {
-          straight.apply(next);
+          uninterrupted.apply(next);
           restored.apply(next);
           if (position !== cut) continue;
           const snapshot = Buffer.concat(restored.takeSnapshot());
           restored = new ProgramState();
           restored.restore(snapshot);
         }
-        t.same(listPrograms(restored), listPrograms(straight));
+        t.same(listPrograms(restored), listPrograms(uninterrupted));
       },
     ),
     { seed: SEED, numRuns: 100 },
@@ -250,7 +257,7 @@
   t.end();
 });
 
-test("a resent request is the same call, with other content it is refused", (t) => {
+test("a repeated request id returns the same call, or is refused if the body differs", (t) => {
   const state = createBase();
   const accept = (maxTokens: number) =>
     state.apply({
@@ -271,9 +278,9 @@
   t.end();
 });
 
-test("another outfit's program cannot be told from none", (t) => {
+test("a program of another outfit is refused like one that does not exist", (t) => {
   const state = createBase();
-  const ask = (programId: string) =>
+  const acceptAsSouth = (programId: string) =>
     state.apply({
       type: "accept_call",
       now: 1,
@@ -283,6 +290,6 @@
       body: { kind: "model", model: "m", messages: [], maxTokens: 1 },
       openLimit: 2,
     }) as Outcome<CallRecord>;
-  t.same(ask("p1"), ask("absent"));
+  t.same(acceptAsSouth("p1"), acceptAsSouth("absent"));
   t.end();
 });
