--- a/packages/scheduling/src/create_policies.ts
+++ b/packages/scheduling/src/create_policies.ts
@@ -1,14 +1,18 @@
-/** Makes the policies that the settings name. */
+/** Creates the placement policy and the queue order named in the settings. */
 
 import type { Settings } from "@mallowlift/core";
 import { ExpectedFinish } from "./expected_finish.ts";
 import { LeastLoaded } from "./least_loaded.ts";
 import type { PlacementPolicy } from "./placement_policy.ts";
 import { PrefixAffinity } from "./prefix_affinity.ts";
-import { FirstCome, LeastAttained, type QueueOrder } from "./queue_order.ts";
+import {
+  FirstCome,
+  LeastAttainedService,
+  type QueueOrder,
+} from "./queue_order.ts";
 import { RoundRobin } from "./round_robin.ts";
 
-/** Makes the placement policy of a replica. */
+/** Creates the placement policy of a replica. */
 export function createPlacementPolicy(
   settings: Settings["replica"],
 ): PlacementPolicy {
@@ -18,9 +22,9 @@
   return new ExpectedFinish(settings.cacheWeight);
 }
 
-/** Makes the queue order of a sidecar. */
+/** Creates the queue order of a sidecar. */
 export function createQueueOrder(settings: Settings["sidecar"]): QueueOrder {
   return settings.order === "first_come"
     ? new FirstCome()
-    : new LeastAttained();
+    : new LeastAttainedService();
 }
--- a/packages/scheduling/src/expected_finish.ts
+++ b/packages/scheduling/src/expected_finish.ts
@@ -1,23 +1,27 @@
-/** Placement by the expected end of the call. */
+/** Placement policy that minimizes the expected time to the first token. */
 
 import {
-  chooseLeast,
-  countWork,
+  chooseLowestCost,
+  countCalls,
   type PlacementCall,
   type PlacementCandidate,
   type PlacementPolicy,
 } from "./placement_policy.ts";
 
-/** Prompt tokens that an engine computes in one step. */
+/** Prompt tokens that an engine processes in one step. */
 const PREFILL_TOKENS_PER_STEP = 512;
 
-/** Steps that a call ahead in the queue is expected to hold its slot. */
-const EXPECTED_STEPS = 64;
+/**
+ * Number of steps for which a call ahead in the queue is expected to occupy its
+ * slot.
+ */
+const EXPECTED_STEPS_PER_CALL = 64;
 
 /**
- * Takes the candidate where the call should end first: the wait for a slot,
- * then the prompt tokens that are not cached there. The weight counts tokens
- * computed again more or less than the time they take.
+ * Chooses the candidate with the lowest estimated time: the wait for a slot
+ * plus the processing of the prompt tokens that are not cached there. The time
+ * for uncached tokens is multiplied by 1 + cacheWeight, so that a positive
+ * weight prefers candidates with a cached prompt.
  */
 export class ExpectedFinish implements PlacementPolicy {
   readonly name = "expected_finish";
@@ -31,22 +35,32 @@
     call: PlacementCall,
     candidates: readonly PlacementCandidate[],
   ): PlacementCandidate | undefined {
-    return chooseLeast(
+    return chooseLowestCost(
       candidates,
-      (candidate) => this.estimate(call, candidate),
+      (candidate) => this.estimateMilliseconds(call, candidate),
     );
   }
 
-  /** Expected milliseconds until the call's first token, weighted. */
-  estimate(call: PlacementCall, candidate: PlacementCandidate): number {
+  /**
+   * Returns the weighted estimate of the milliseconds until the call's first
+   * token.
+   */
+  estimateMilliseconds(
+    call: PlacementCall,
+    candidate: PlacementCandidate,
+  ): number {
     const step = candidate.stepMilliseconds;
-    const work = countWork(candidate);
-    const ahead = Math.max(0, work + 1 - candidate.slots);
-    const wait = (ahead / candidate.slots) * EXPECTED_STEPS * step;
-    const uncached = Math.max(0, call.promptTokens - candidate.cachedTokens);
-    const prefill = (uncached / PREFILL_TOKENS_PER_STEP) * step;
-    // Running calls share each step, so a fuller batch is a little slower.
-    const sharing = (work / candidate.slots) * step;
-    return wait + sharing + prefill * (1 + this.#cacheWeight);
+    const calls = countCalls(candidate);
+    const callsAhead = Math.max(0, calls + 1 - candidate.slots);
+    const wait = (callsAhead / candidate.slots) * EXPECTED_STEPS_PER_CALL *
+      step;
+    const uncachedTokens = Math.max(
+      0,
+      call.promptTokens - candidate.cachedTokens,
+    );
+    const prefill = (uncachedTokens / PREFILL_TOKENS_PER_STEP) * step;
+    // Running calls share each step, so a larger batch is slightly slower.
+    const batchDelay = (calls / candidate.slots) * step;
+    return wait + batchDelay + prefill * (1 + this.#cacheWeight);
   }
 }
--- a/packages/scheduling/src/least_loaded.ts
+++ b/packages/scheduling/src/least_loaded.ts
@@ -1,14 +1,14 @@
-/** Baseline: the least work for its size. */
+/** Baseline placement policy: the lowest load relative to capacity. */
 
 import {
-  chooseLeast,
-  countWork,
+  chooseLowestCost,
+  countCalls,
   type PlacementCall,
   type PlacementCandidate,
   type PlacementPolicy,
 } from "./placement_policy.ts";
 
-/** Takes the candidate with the least work per slot. */
+/** Chooses the candidate with the fewest calls per slot. */
 export class LeastLoaded implements PlacementPolicy {
   readonly name = "least_loaded";
 
@@ -16,9 +16,9 @@
     _call: PlacementCall,
     candidates: readonly PlacementCandidate[],
   ): PlacementCandidate | undefined {
-    return chooseLeast(
+    return chooseLowestCost(
       candidates,
-      (candidate) => countWork(candidate) / candidate.slots,
+      (candidate) => countCalls(candidate) / candidate.slots,
     );
   }
 }
--- a/packages/scheduling/src/mod.ts
+++ b/packages/scheduling/src/mod.ts
@@ -1,4 +1,4 @@
-/** Policies of placement and order. */
+/** Placement policies of replicas and queue orders of sidecars. */
 
 export * from "./create_policies.ts";
 export * from "./expected_finish.ts";
--- a/packages/scheduling/src/placement_policy.ts
+++ b/packages/scheduling/src/placement_policy.ts
@@ -1,12 +1,15 @@
-/** Where a call should run. */
+/**
+ * Interface and common functions of the placement policies, which choose the
+ * sidecar for a call.
+ */
 
-/** A sidecar that could take the call. */
+/** A sidecar that can serve the call. */
 export interface PlacementCandidate {
   readonly sidecarId: string;
   readonly failureDomain: string;
-  /** Calls that this replica has there now; known without lag. */
+  /** Calls that this replica has in flight there; always current. */
   readonly ownCalls: number;
-  /** Calls of other replicas, by the last report. */
+  /** Calls of other replicas according to the last report. */
   readonly otherCalls: number;
   readonly slots: number;
   readonly queueLimit: number;
@@ -15,7 +18,7 @@
   readonly cachedTokens: number;
 }
 
-/** What is known of the call. */
+/** The properties of a call that placement uses. */
 export interface PlacementCall {
   readonly programId: string;
   readonly promptTokens: number;
@@ -25,36 +28,42 @@
 /** Chooses a sidecar for a call. */
 export interface PlacementPolicy {
   readonly name: string;
-  /** Returns the choice, or undefined if no candidate has room. */
+  /** Returns the chosen candidate, or undefined if none has capacity. */
   choose(
     call: PlacementCall,
     candidates: readonly PlacementCandidate[],
   ): PlacementCandidate | undefined;
 }
 
-/** Calls that a candidate has, as far as can be known. */
-export function countWork(candidate: PlacementCandidate): number {
+/**
+ * Returns the known number of calls at a candidate; it may be stale, because
+ * calls of other replicas are only reported.
+ */
+export function countCalls(candidate: PlacementCandidate): number {
   return candidate.ownCalls + candidate.otherCalls;
 }
 
-/** Returns true if the candidate's queue is not full, as far as can be known. */
-export function hasRoom(candidate: PlacementCandidate): boolean {
-  return countWork(candidate) < candidate.slots + candidate.queueLimit;
+/**
+ * Returns true if the candidate's queue has space according to the known number
+ * of calls.
+ */
+export function hasCapacity(candidate: PlacementCandidate): boolean {
+  return countCalls(candidate) < candidate.slots + candidate.queueLimit;
 }
 
-/** Returns the candidate with the least cost among those with room. */
-export function chooseLeast(
+/** Returns the candidate with the lowest cost among those with capacity. */
+export function chooseLowestCost(
   candidates: readonly PlacementCandidate[],
-  findCost: (candidate: PlacementCandidate) => number,
+  computeCost: (candidate: PlacementCandidate) => number,
 ): PlacementCandidate | undefined {
   let best: PlacementCandidate | undefined;
-  let leastCost = Infinity;
+  let lowestCost = Infinity;
   for (const candidate of candidates) {
-    if (!hasRoom(candidate)) continue;
-    const cost = findCost(candidate);
-    if (cost >= leastCost) continue;
+    if (!hasCapacity(candidate)) continue;
+    const cost = computeCost(candidate);
+    if (cost >= lowestCost) continue;
     best = candidate;
-    leastCost = cost;
+    lowestCost = cost;
   }
   return best;
 }
--- a/packages/scheduling/src/policies_test.ts
+++ b/packages/scheduling/src/policies_test.ts
@@ -2,9 +2,9 @@
 import { test } from "tap";
 import { ExpectedFinish } from "./expected_finish.ts";
 import { LeastLoaded } from "./least_loaded.ts";
-import { hasRoom, type PlacementCandidate } from "./placement_policy.ts";
+import { hasCapacity, type PlacementCandidate } from "./placement_policy.ts";
 import { PrefixAffinity } from "./prefix_affinity.ts";
-import { LeastAttained } from "./queue_order.ts";
+import { LeastAttainedService } from "./queue_order.ts";
 import { RoundRobin } from "./round_robin.ts";
 
 const SEED = 1;
@@ -21,7 +21,7 @@
   cachedTokens: fc.nat(2_000),
 });
 
-test("every policy chooses a candidate with room if there is one", (t) => {
+test("every policy chooses a candidate with capacity if there is one", (t) => {
   const policies = [
     new RoundRobin(),
     new LeastLoaded(),
@@ -33,8 +33,8 @@
       for (const policy of policies) {
         const chosen = policy.choose(CALL, candidates);
         if (chosen === undefined) {
-          t.notOk(candidates.some(hasRoom), policy.name);
-        } else t.ok(hasRoom(chosen), policy.name);
+          t.notOk(candidates.some(hasCapacity), policy.name);
+        } else t.ok(hasCapacity(chosen), policy.name);
       }
     }),
     { seed: SEED, numRuns: 200 },
@@ -42,7 +42,7 @@
   t.end();
 });
 
-test("among equally loaded engines the cached prompt decides", (t) => {
+test("expected finish prefers the candidate with a cached prompt, unless it is full", (t) => {
   const base = {
     failureDomain: "",
     ownCalls: 1,
@@ -59,8 +59,8 @@
   t.end();
 });
 
-test("no call waits for ever behind newer ones", (t) => {
-  const order = new LeastAttained();
+test("a call that has waited long enough runs before newer calls of any priority", (t) => {
+  const order = new LeastAttainedService();
   fc.assert(
     fc.property(
       fc.record({ priority: fc.nat(20), attainedTokens: fc.nat(100_000) }),
--- a/packages/scheduling/src/prefix_affinity.ts
+++ b/packages/scheduling/src/prefix_affinity.ts
@@ -1,14 +1,17 @@
-/** Baseline: where most of the prompt is cached. */
+/** Baseline placement policy: the most cached prompt tokens. */
 
 import {
-  chooseLeast,
-  countWork,
+  chooseLowestCost,
+  countCalls,
   type PlacementCall,
   type PlacementCandidate,
   type PlacementPolicy,
 } from "./placement_policy.ts";
 
-/** Takes the most cached tokens; among equals the least work. */
+/**
+ * Chooses the candidate with the most cached tokens, and the least utilized one
+ * among equals.
+ */
 export class PrefixAffinity implements PlacementPolicy {
   readonly name = "prefix_affinity";
 
@@ -16,10 +19,10 @@
     _call: PlacementCall,
     candidates: readonly PlacementCandidate[],
   ): PlacementCandidate | undefined {
-    return chooseLeast(candidates, (candidate) => {
-      const share = countWork(candidate) /
+    return chooseLowestCost(candidates, (candidate) => {
+      const utilization = countCalls(candidate) /
         (candidate.slots + candidate.queueLimit);
-      return share - candidate.cachedTokens;
+      return utilization - candidate.cachedTokens;
     });
   }
 }
--- a/packages/scheduling/src/queue_order.ts
+++ b/packages/scheduling/src/queue_order.ts
@@ -1,19 +1,19 @@
-/** In which order a sidecar runs what waits. */
+/** Queue orders, which decide the next waiting call that a sidecar runs. */
 
 /** A call that waits for a slot. */
 export interface WaitingCall {
-  /** Higher runs first. */
+  /** Calls with a higher priority run first. */
   readonly priority: number;
-  /** Tokens generated for the program so far, on any upstream. */
+  /** Tokens generated for the program so far, on all upstreams. */
   readonly attainedTokens: number;
-  /** When the call arrived, in milliseconds. */
+  /** Time when the call arrived, in milliseconds. */
   readonly arrivedAt: number;
 }
 
-/** Chooses the next call. */
+/** Chooses the next call to run. */
 export interface QueueOrder {
   readonly name: string;
-  /** Returns the position of the next call; the queue is not empty. */
+  /** Returns the index of the next call in a non-empty queue. */
   choose(waiting: readonly WaitingCall[], now: number): number;
 }
 
@@ -33,39 +33,44 @@
   }
 }
 
-/** Waiting that raises a call by one level of priority. */
-const AGING_MILLISECONDS = 5_000;
+/** Waiting time that raises a call by one level of priority. */
+const AGING_MILLISECONDS_PER_LEVEL = 5_000;
 
-/** Attained tokens that lower a call by one level, at most this many levels. */
-const ATTAINED_PER_LEVEL = 1_024;
-const ATTAINED_LEVELS = 4;
+/**
+ * Attained tokens that lower a call by one level, up to the maximum number of
+ * levels.
+ */
+const ATTAINED_TOKENS_PER_LEVEL = 1_024;
+const MAX_ATTAINED_LEVELS = 4;
 
 /**
- * Higher priority first; within a priority the program that has had the
- * least service. Waiting raises a call without limit, so none starves.
+ * Least attained service: runs the call with the highest level next. The level
+ * is the priority, lowered by the tokens already generated for the program and
+ * raised without limit by waiting, so no call starves.
  */
-export class LeastAttained implements QueueOrder {
+export class LeastAttainedService implements QueueOrder {
   readonly name = "least_attained";
 
   choose(waiting: readonly WaitingCall[], now: number): number {
     let best = 0;
-    let highest = -Infinity;
+    let highestLevel = -Infinity;
     for (const [position, call] of waiting.entries()) {
-      const level = this.findLevel(call, now);
-      if (level <= highest) continue;
-      highest = level;
+      const level = this.computeLevel(call, now);
+      if (level <= highestLevel) continue;
+      highestLevel = level;
       best = position;
     }
     return best;
   }
 
-  /** Level of a call; the highest runs next. */
-  findLevel(call: WaitingCall, now: number): number {
-    const aged = Math.max(0, now - call.arrivedAt) / AGING_MILLISECONDS;
-    const attained = Math.min(
-      ATTAINED_LEVELS,
-      call.attainedTokens / ATTAINED_PER_LEVEL,
+  /** Returns the level of a call. The call with the highest level runs next. */
+  computeLevel(call: WaitingCall, now: number): number {
+    const agingLevels = Math.max(0, now - call.arrivedAt) /
+      AGING_MILLISECONDS_PER_LEVEL;
+    const attainedLevels = Math.min(
+      MAX_ATTAINED_LEVELS,
+      call.attainedTokens / ATTAINED_TOKENS_PER_LEVEL,
     );
-    return call.priority + aged - attained;
+    return call.priority + agingLevels - attainedLevels;
   }
 }
--- a/packages/scheduling/src/round_robin.ts
+++ b/packages/scheduling/src/round_robin.ts
@@ -1,13 +1,13 @@
-/** Baseline: one after the other. */
+/** Baseline placement policy: round robin. */
 
 import {
-  hasRoom,
+  hasCapacity,
   type PlacementCall,
   type PlacementCandidate,
   type PlacementPolicy,
 } from "./placement_policy.ts";
 
-/** Takes the candidates in turn. */
+/** Chooses the candidates with capacity in rotation. */
 export class RoundRobin implements PlacementPolicy {
   readonly name = "round_robin";
   #next = 0;
@@ -16,8 +16,8 @@
     _call: PlacementCall,
     candidates: readonly PlacementCandidate[],
   ): PlacementCandidate | undefined {
-    const open = candidates.filter(hasRoom);
-    if (open.length === 0) return undefined;
-    return open[this.#next++ % open.length];
+    const available = candidates.filter(hasCapacity);
+    if (available.length === 0) return undefined;
+    return available[this.#next++ % available.length];
   }
 }
