--- a/packages/replica/src/calls/attempt_end.ts
+++ b/packages/replica/src/calls/attempt_end.ts
@@ -1,34 +1,34 @@
-/** How an attempt ended, as its owner sees it. */
+/** The possible ends of an attempt, as its owner sees them. */
 
 import type { Answer, CodedError } from "@mallowlift/core";
 
-/** The upstream answered. */
+/** The attempt ended with an answer of the upstream. */
 export interface AnsweredAttempt {
   readonly kind: "answered";
   readonly answer: Answer;
 }
 
-/** The attempt did not run and cannot run any more. */
+/** The attempt did not run and is guaranteed not to run later. */
 export interface NeverRanAttempt {
   readonly kind: "never_ran";
   readonly error: CodedError;
 }
 
-/** The attempt may have run, or has run in part. */
+/** The attempt may have run, completely or in part. */
 export interface LostAttempt {
   readonly kind: "lost";
   readonly error: CodedError;
 }
 
-/** End of one attempt. */
+/** The end of one attempt. */
 export type AttemptEnd = AnsweredAttempt | NeverRanAttempt | LostAttempt;
 
-/** Makes the end of an attempt that never ran. */
+/** Creates the end of an attempt that never ran. */
 export function neverRan(error: CodedError): NeverRanAttempt {
   return { kind: "never_ran", error };
 }
 
-/** Makes the end of an attempt that may have run. */
+/** Creates the end of an attempt that may have run. */
 export function lost(error: CodedError): LostAttempt {
   return { kind: "lost", error };
 }
--- a/packages/replica/src/calls/build_prompt.ts
+++ b/packages/replica/src/calls/build_prompt.ts
@@ -1,4 +1,6 @@
-/** The whole prompt of a model call, from the history of its program. */
+/**
+ * Builds the complete prompt of a model call from the history of its program.
+ */
 
 import {
   type CallBody,
@@ -7,7 +9,10 @@
 } from "@mallowlift/core";
 import type { ProgramRecord } from "@mallowlift/programs";
 
-/** Puts the turns of a program before the new messages of a call. */
+/**
+ * Returns the messages and answers of the program's successful model turns,
+ * followed by the new messages of the call. Service calls have no prompt.
+ */
 export function buildPrompt(
   program: ProgramRecord,
   body: CallBody,
--- a/packages/replica/src/calls/call_acceptor.ts
+++ b/packages/replica/src/calls/call_acceptor.ts
@@ -1,4 +1,7 @@
-/** Accepts calls into the log, and sends the idempotent ones ahead of it. */
+/**
+ * Accepts calls by committing them to the log. The first attempt of an
+ * idempotent call is sent while the commit is still in progress.
+ */
 
 import {
   fail,
@@ -18,65 +21,73 @@
 } from "@mallowlift/programs";
 import { Ok } from "ts-results";
 import type { CallPlacement } from "../sidecars/placement.ts";
-import { describeEvent, EarlyAttempt } from "./dispatch.ts";
+import { createEvent, EarlyAttempt } from "./dispatch.ts";
 
-/** What an acceptor uses of the group it accepts for. */
+/** Dependencies of a call acceptor. */
 export interface CallAcceptorOptions {
   readonly group: number;
   readonly state: ProgramState;
   readonly placement: CallPlacement;
-  /** Most open calls of one program. */
+  /** Maximum number of open calls of one program. */
   readonly callsPerProgram: number;
-  /** Returns the term of the leadership; undefined if there is none. */
+  /**
+   * Returns the term in which this replica leads, or undefined if it does not
+   * lead.
+   */
   getTerm(): number | undefined;
   propose(command: ProgramCommand): Promise<Outcome<CallRecord>>;
-  /** Confirms the leadership with a quorum. */
-  confirm(): Promise<Outcome<void>>;
+  /** Confirms with a quorum that this replica still leads. */
+  confirmLeadership(): Promise<Outcome<void>>;
 }
 
-/** An accepted call, with the attempt that was sent ahead, if one was. */
+/**
+ * An accepted call, and its first attempt if that was sent before the commit.
+ */
 export interface AcceptedCall {
   readonly program: ProgramRecord;
   readonly call: CallRecord;
   readonly early: EarlyAttempt | undefined;
 }
 
-/** Accepts the calls of one group. */
+/** Accepts calls for the programs of one group. */
 export class CallAcceptor {
   readonly #options: CallAcceptorOptions;
-  /** Acceptances that are being committed, by program. */
-  readonly #accepting = new Map<string, number>();
+  /** Number of acceptances whose commit is in progress, by program id. */
+  readonly #pendingAcceptances = new Map<string, number>();
 
   constructor(options: CallAcceptorOptions) {
     this.#options = options;
   }
 
-  /** Accepts a call, or finds the one that its request id names. */
+  /** Accepts a call, or returns the known call with the same request id. */
   async accept(
     request: RunCallRequest,
-    tell: (event: RunCallEvent) => void,
+    onEvent: (event: RunCallEvent) => void,
   ): Promise<Outcome<AcceptedCall>> {
     const { state } = this.#options;
-    const early = this.#startEarly(request);
-    if (early !== undefined) tell(describeEvent(early.plan, "dispatched"));
+    const early = this.#startEarlyAttempt(request);
+    if (early !== undefined) onEvent(createEvent(early.plan, "dispatched"));
     const accepted = await this.#commit(request, early?.plan.target);
     if (accepted.err || accepted.val.attempt === 0) early?.cancel();
     if (accepted.err) return accepted;
     const program = state.find(request.programId);
     if (program === undefined) {
-      return fail(RESULT_CODES.INTERNAL, "The program is gone");
+      return fail(RESULT_CODES.INTERNAL, "The program no longer exists");
     }
     return Ok({ program, call: accepted.val, early });
   }
 
-  /** Sends an idempotent call that nothing stands before, without waiting. */
-  #startEarly(request: RunCallRequest): EarlyAttempt | undefined {
+  /**
+   * Starts the first attempt of an idempotent call before its commit, if no
+   * other call of the program is open.
+   */
+  #startEarlyAttempt(request: RunCallRequest): EarlyAttempt | undefined {
     const { state, placement, group } = this.#options;
     const { programId, requestId, body, told } = request;
     const term = this.#options.getTerm();
     const program = state.findOwned(programId, request.outfit);
     if (program === undefined || term === undefined) return undefined;
-    if (!isIdempotent(body) || !this.#mayStart(program, request)) {
+    if (!isIdempotent(body) || !this.#canStartEarly(program, request)) {
       return undefined;
     }
     const target = placement.place(program, body, []);
@@ -94,10 +105,10 @@
     });
   }
 
-  #mayStart(program: ProgramRecord, request: RunCallRequest): boolean {
+  #canStartEarly(program: ProgramRecord, request: RunCallRequest): boolean {
     const { programId } = program;
     if (program.openCalls.length > 0) return false;
-    if (this.#accepting.has(programId)) return false;
+    if (this.#pendingAcceptances.has(programId)) return false;
     if (program.calls.has(request.requestId)) return false;
     const { state, callsPerProgram } = this.#options;
     const call = {
@@ -118,7 +129,7 @@
       : Ok(earlyTarget);
     if (found.err) return found;
     const target = found.val;
-    this.#countAccepting(programId, 1);
+    this.#adjustPendingAcceptances(programId, 1);
     const accepted = await this.#options.propose({
       type: "accept_call",
       now: Date.now(),
@@ -129,13 +140,15 @@
       openLimit: this.#options.callsPerProgram,
       ...target === undefined ? {} : { target },
     });
-    this.#countAccepting(programId, -1);
+    this.#adjustPendingAcceptances(programId, -1);
     return accepted;
   }
 
   /**
-   * Places a new call before it is accepted, so that one commit does for
-   * both; a call that no upstream serves is refused without any trace.
+   * Chooses the target of a new call before its acceptance, so that one commit
+   * both accepts and dispatches it. A call that no upstream can serve is
+   * rejected without a log entry. Returns undefined if the call is not new or
+   * must wait behind another call of the program.
    */
   async #findFirstTarget(
     request: RunCallRequest,
@@ -149,13 +162,13 @@
     if (target.ok) {
       return Ok(program.openCalls.length === 0 ? target.val : undefined);
     }
-    const confirmed = await this.#options.confirm();
+    const confirmed = await this.#options.confirmLeadership();
     return confirmed.err ? confirmed : target;
   }
 
-  #countAccepting(programId: string, change: number): void {
-    const count = (this.#accepting.get(programId) ?? 0) + change;
-    if (count === 0) this.#accepting.delete(programId);
-    else this.#accepting.set(programId, count);
+  #adjustPendingAcceptances(programId: string, change: number): void {
+    const count = (this.#pendingAcceptances.get(programId) ?? 0) + change;
+    if (count === 0) this.#pendingAcceptances.delete(programId);
+    else this.#pendingAcceptances.set(programId, count);
   }
 }
--- a/packages/replica/src/calls/call_listeners.ts
+++ b/packages/replica/src/calls/call_listeners.ts
@@ -1,4 +1,6 @@
-/** Entries that wait for a call, and what they are told. */
+/**
+ * Publishes the attempts and the end of a call to the entries that wait for it.
+ */
 
 import {
   createDeferred,
@@ -9,64 +11,71 @@
   waitAtMost,
 } from "@mallowlift/core";
 
-const TOLD_MILLISECONDS = 300;
+/**
+ * How long to wait for an entry to report the text that its caller received.
+ */
+const DELIVERED_TEXT_TIMEOUT_MILLISECONDS = 300;
 
-/** One entry that waits for the end of a call. */
+/** An entry that waits for the end of a call. */
 export interface CallListener {
-  /** True if the entry tells the caller text before the end. */
+  /** True if the entry streams text to the caller before the call ends. */
   readonly stream: boolean;
   readonly signal: AbortSignal;
   sendChunk(event: RunCallEvent): void;
 }
 
-/** Tells every waiting entry about the attempts and the end of one call. */
+/** The entries that wait for one call. */
 export class CallListeners {
   readonly #listeners = new Set<CallListener>();
   readonly #end: Deferred<Outcome<RunCallReply>> = createDeferred<
     Outcome<RunCallReply>
   >();
-  #latest: RunCallEvent | undefined;
-  #told: Deferred<string> = createDeferred<string>();
+  #latestEvent: RunCallEvent | undefined;
+  #deliveredText: Deferred<string> = createDeferred<string>();
 
   /** Resolves with the end of the call. */
   get end(): Promise<Outcome<RunCallReply>> {
     return this.#end.promise;
   }
 
-  /** Adds an entry; it hears of the present attempt at once. */
+  /** Adds an entry and sends it the latest event, if there is one. */
   add(listener: CallListener): void {
     this.#listeners.add(listener);
     listener.signal.addEventListener(
       "abort",
       () => this.#listeners.delete(listener),
     );
-    if (this.#latest !== undefined) listener.sendChunk(this.#latest);
+    if (this.#latestEvent !== undefined) listener.sendChunk(this.#latestEvent);
   }
 
-  /** Tells all entries about an attempt. */
-  tell(event: RunCallEvent): void {
-    this.#latest = event;
+  /** Sends an event about an attempt to all entries. */
+  publish(event: RunCallEvent): void {
+    this.#latestEvent = event;
     for (const listener of this.#listeners) listener.sendChunk(event);
   }
 
-  /** Takes the text that a caller was told of a lost attempt. */
-  takeTold(text: string): void {
-    this.#told.resolve(text);
+  /** Stores the text that a caller received from a lost attempt. */
+  setDeliveredText(text: string): void {
+    this.#deliveredText.resolve(text);
   }
 
   /**
-   * Tells the entries that an attempt is lost and asks for the text that was
-   * told, so that the next attempt can continue it.
+   * Informs the entries that an attempt was lost and returns the text that the
+   * caller had already received, so that the next attempt can continue it.
+   * Returns an empty text if no entry streams or none replies in time.
    */
-  async collectTold(event: RunCallEvent): Promise<string> {
-    this.#told = createDeferred<string>();
-    this.tell(event);
+  async collectDeliveredText(event: RunCallEvent): Promise<string> {
+    this.#deliveredText = createDeferred<string>();
+    this.publish(event);
     const streaming = [...this.#listeners].some((listener) => listener.stream);
     if (!streaming) return "";
-    return await waitAtMost(this.#told.promise, TOLD_MILLISECONDS) ?? "";
+    return await waitAtMost(
+      this.#deliveredText.promise,
+      DELIVERED_TEXT_TIMEOUT_MILLISECONDS,
+    ) ?? "";
   }
 
-  /** Ends the call for all entries. */
+  /** Publishes the end of the call to all entries. */
   finish(outcome: Outcome<RunCallReply>): void {
     this.#end.resolve(outcome);
   }
--- a/packages/replica/src/calls/call_runner.ts
+++ b/packages/replica/src/calls/call_runner.ts
@@ -1,4 +1,7 @@
-/** Runs one call of a program from its acceptance to its recorded end; one task. */
+/**
+ * Runs one call of a program, as one task, from its acceptance until its end is
+ * recorded.
+ */
 
 import {
   ABORTED,
@@ -29,16 +32,16 @@
 import { CallListeners } from "./call_listeners.ts";
 import {
   type AttemptPlan,
-  describeAttempt,
-  describeEvent,
+  createAttemptCall,
+  createEvent,
   dispatchAttempt,
   type EarlyAttempt,
 } from "./dispatch.ts";
 import { cancelAttempt, recoverAttempt } from "./run_attempt.ts";
 
-const NO_ANSWER: Answer = { text: "", finish: "", usage: NO_USAGE };
+const EMPTY_ANSWER: Answer = { text: "", finish: "", usage: NO_USAGE };
 
-/** What a runner uses of the group that owns the call. */
+/** Data and functions of the owning group that a runner uses. */
 export interface CallOwner {
   readonly group: number;
   readonly term: number;
@@ -46,18 +49,20 @@
   readonly placement: CallPlacement;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Aborts when this replica no longer leads the group. */
+  /** Aborts when this replica stops leading the group. */
   readonly signal: AbortSignal;
   propose(command: ProgramCommand): Promise<Outcome<CallRecord>>;
 }
 
-/** The call that a runner starts with. */
+/** A call to run, and its state at the start. */
 export interface CallStart {
   readonly program: ProgramRecord;
   readonly call: CallRecord;
-  /** Text told to the caller under an earlier owner. */
+  /** Text that the caller received while an earlier owner ran the call. */
   readonly told: string;
-  /** First attempt, if it was sent while the call was being accepted. */
+  /**
+   * The first attempt, if it was sent while the acceptance was being committed.
+   */
   readonly early?: EarlyAttempt;
 }
 
@@ -68,12 +73,15 @@
   readonly #program: ProgramRecord;
   readonly #call: CallRecord;
   readonly #body: CallBody;
-  readonly #turn = new WakeSignal();
+  readonly #queueChanged = new WakeSignal();
   readonly #cancelled = new AbortController();
-  #told: string;
+  #deliveredText: string;
   #early: EarlyAttempt | undefined;
-  #avoid: string[] = [];
-  /** True once an attempt may have run, so that no refusal may deny it. */
+  #avoidedSidecarIds: string[] = [];
+  /**
+   * True once an attempt may have run. The caller must then not receive a code
+   * that guarantees that the call did not run.
+   */
   #mayHaveRun = false;
 
   constructor(owner: CallOwner, start: CallStart) {
@@ -82,35 +90,41 @@
     this.#program = start.program;
     this.#call = start.call;
     this.#body = start.call.body;
-    this.#told = start.told;
+    this.#deliveredText = start.told;
     this.#early = start.early;
-    const leave = () => this.#cancelled.abort(ABORTED);
-    owner.signal.addEventListener("abort", leave, { once: true });
+    const abort = () => this.#cancelled.abort(ABORTED);
+    owner.signal.addEventListener("abort", abort, { once: true });
   }
 
-  /** Looks again whether it is this call's turn. */
+  /** Checks again whether this call is the first open call of its program. */
   wake(): void {
-    this.#turn.wake();
+    this.#queueChanged.wake();
   }
 
-  /** Stops the call because its program has ended; a service call goes on. */
+  /**
+   * Cancels a model call because its program has ended. A service call
+   * continues.
+   */
   cancel(): void {
     if (this.#body.kind === "model") this.#cancelled.abort(ABORTED);
-    this.#turn.wake();
+    this.#queueChanged.wake();
   }
 
   /**
-   * Runs the call to its end.
+   * Runs the call until its end is recorded.
    *
-   * @param dispatch "send" if this owner has just committed the first
-   * attempt, "recover" if an earlier owner may have sent it
+   * @param dispatch "send" if this owner has just committed the first attempt,
+   * "recover" if an earlier owner may have sent it
    */
   async run(dispatch: "send" | "recover"): Promise<void> {
     const startedAt = Date.now();
     const outcome = await this.#runAttempts(dispatch).catch((thrown) => {
       const message = thrown instanceof Error ? thrown.message : String(thrown);
       this.#owner.logger.error("Call failed inside", { message });
-      return fail(RESULT_CODES.INTERNAL, "The call failed inside the owner");
+      return fail(
+        RESULT_CODES.INTERNAL,
+        "Internal error while the call was run",
+      );
     });
     const seconds = (Date.now() - startedAt) / 1_000;
     this.#owner.metrics.callSeconds.observe({ kind: this.#body.kind }, seconds);
@@ -126,28 +140,31 @@
     let end: AttemptEnd | undefined;
     let previousNeverRan = true;
     if (this.#call.state === CALL_STATES.DISPATCHED) {
-      // Nobody here knows how the attempts before the recorded one ended.
+      // This owner does not know how attempts before the recorded one ended.
       this.#mayHaveRun = this.#call.attempt > 1 && isIdempotent(this.#body);
       end = await this.#finishAttempt(dispatch);
     }
     for (;;) {
       if (end === undefined) {
         const started = await this.#startAttempt(previousNeverRan);
-        if (started.err) return await this.#giveUp(started.val);
+        if (started.err) return await this.#withdraw(started.val);
         end = await this.#finishAttempt("send");
       }
-      if (this.#owner.signal.aborted) return this.#refuseAsFollower();
+      if (this.#owner.signal.aborted) return this.#refuseAsNotOwner();
       if (end.kind === "answered") {
-        return await this.#record(RESULT_CODES.OK.name, end.answer);
+        return await this.#recordEnd(RESULT_CODES.OK.name, end.answer);
       }
       if (this.#cancelled.signal.aborted) return await this.#recordCancelled();
       if (end.kind === "lost") this.#mayHaveRun = true;
       const mayRetry = end.kind === "never_ran" || isIdempotent(this.#body);
       if (!mayRetry) {
-        return await this.#record(RESULT_CODES.OUTCOME_UNKNOWN.name, NO_ANSWER);
+        return await this.#recordEnd(
+          RESULT_CODES.OUTCOME_UNKNOWN.name,
+          EMPTY_ANSWER,
+        );
       }
       if (this.#call.attempt >= this.#owner.maxAttempts) {
-        return await this.#exhaust(end);
+        return await this.#endAfterLastAttempt(end);
       }
       countRetry(this.#owner.metrics, "owner", end.error.code);
       previousNeverRan = end.kind === "never_ran";
@@ -156,10 +173,13 @@
     }
   }
 
-  /** Waits for the call's turn, places it and commits the intent. */
+  /**
+   * Waits until the call is the first open call of its program, places it and
+   * commits the dispatch.
+   */
   async #startAttempt(previousNeverRan: boolean): Promise<Outcome<CallRecord>> {
     for (;;) {
-      if (this.#owner.signal.aborted) return this.#refuseAsFollower();
+      if (this.#owner.signal.aborted) return this.#refuseAsNotOwner();
       if (this.#program.ended !== undefined) {
         return fail(RESULT_CODES.PROGRAM_ENDED, "The program has ended");
       }
@@ -168,12 +188,12 @@
         return fail(RESULT_CODES.DEADLINE_PASSED, "The deadline has passed");
       }
       if (this.#program.openCalls[0] === this.#call.requestId) break;
-      await this.#turn.wait(Math.min(left, 1_000));
+      await this.#queueChanged.wait(Math.min(left, 1_000));
     }
     const placed = this.#owner.placement.place(
       this.#program,
       this.#body,
-      this.#avoid,
+      this.#avoidedSidecarIds,
     );
     if (placed.err) return placed;
     return await this.#owner.propose({
@@ -189,17 +209,17 @@
 
   async #finishAttempt(dispatch: "send" | "recover"): Promise<AttemptEnd> {
     const plan = this.#planAttempt();
-    this.listeners.tell(describeEvent(plan, "dispatched"));
+    this.listeners.publish(createEvent(plan, "dispatched"));
     const end = await this.#waitForEnd(plan, dispatch);
     const { sidecarId } = plan.target;
     if (end.kind === "answered") {
       const { usage } = end.answer;
-      this.#owner.placement.noteAnswered(this.#program, sidecarId, usage);
+      this.#owner.placement.recordAnswer(this.#program, sidecarId, usage);
       return end;
     }
-    this.#avoid.push(sidecarId);
+    this.#avoidedSidecarIds.push(sidecarId);
     if (this.#cancelled.signal.aborted && !this.#owner.signal.aborted) {
-      cancelAttempt(describeAttempt(plan, Date.now()));
+      cancelAttempt(createAttemptCall(plan, Date.now()));
     }
     return end;
   }
@@ -211,7 +231,7 @@
     const early = this.#early;
     this.#early = undefined;
     if (dispatch === "recover") {
-      return await recoverAttempt(describeAttempt(plan, Date.now()));
+      return await recoverAttempt(createAttemptCall(plan, Date.now()));
     }
     if (early === undefined) return await dispatchAttempt(plan);
     const cancel = () => early.cancel();
@@ -223,12 +243,15 @@
   }
 
   async #prepareRetry(): Promise<void> {
-    const event = describeEvent(this.#planAttempt(), "lost");
-    const told = await this.listeners.collectTold(event);
-    if (told.length > this.#told.length) this.#told = told;
+    const event = createEvent(this.#planAttempt(), "lost");
+    const told = await this.listeners.collectDeliveredText(event);
+    if (told.length > this.#deliveredText.length) this.#deliveredText = told;
   }
 
-  async #record(code: string, answer: Answer): Promise<Outcome<RunCallReply>> {
+  async #recordEnd(
+    code: string,
+    answer: Answer,
+  ): Promise<Outcome<RunCallReply>> {
     const recorded = await this.#owner.propose({
       type: "end_call",
       now: Date.now(),
@@ -238,28 +261,31 @@
       end: { code, answer },
     });
     if (recorded.err) return recorded;
-    return describeRecorded(this.#program, recorded.val);
+    return createRecordedReply(this.#program, recorded.val);
   }
 
   async #recordCancelled(): Promise<Outcome<RunCallReply>> {
-    return await this.#record(RESULT_CODES.CANCELLED.name, NO_ANSWER);
+    return await this.#recordEnd(RESULT_CODES.CANCELLED.name, EMPTY_ANSWER);
   }
 
-  async #exhaust(end: AttemptEnd): Promise<Outcome<RunCallReply>> {
+  async #endAfterLastAttempt(end: AttemptEnd): Promise<Outcome<RunCallReply>> {
     if (end.kind === "answered") {
-      return await this.#record(RESULT_CODES.OK.name, end.answer);
+      return await this.#recordEnd(RESULT_CODES.OK.name, end.answer);
     }
     const last = end.error.code.name;
-    return await this.#giveUp({
+    return await this.#withdraw({
       code: RESULT_CODES.ATTEMPTS_EXHAUSTED,
-      message: `The last of ${this.#call.attempt} attempts ended with ${last}`,
+      message:
+        `All ${this.#call.attempt} attempts failed, the last with ${last}`,
       retryAfterMilliseconds: end.error.retryAfterMilliseconds ?? 1_000,
     });
   }
 
-  /** Takes the call back, so that the same request id may come again. */
-  async #giveUp(error: CodedError): Promise<Outcome<RunCallReply>> {
-    if (this.#owner.signal.aborted) return this.#refuseAsFollower();
+  /**
+   * Withdraws the call, so that the caller can send the same request id again.
+   */
+  async #withdraw(error: CodedError): Promise<Outcome<RunCallReply>> {
+    if (this.#owner.signal.aborted) return this.#refuseAsNotOwner();
     const withdrawn = await this.#owner.propose({
       type: "withdraw_call",
       now: Date.now(),
@@ -268,8 +294,10 @@
       attempt: this.#call.attempt,
     });
     if (withdrawn.err) return withdrawn;
-    const deniesRun = error.code.notRun && this.#mayHaveRun;
-    const code = deniesRun ? RESULT_CODES.RETRIES_EXHAUSTED : error.code;
+    const isNotRunUncertain = error.code.notRun && this.#mayHaveRun;
+    const code = isNotRunUncertain
+      ? RESULT_CODES.RETRIES_EXHAUSTED
+      : error.code;
     return fail(code, error.message, error.retryAfterMilliseconds);
   }
 
@@ -286,12 +314,12 @@
       body: this.#body,
       attempt,
       target,
-      told: this.#told,
+      told: this.#deliveredText,
       signal: this.#cancelled.signal,
     };
   }
 
-  #refuseAsFollower() {
+  #refuseAsNotOwner() {
     return fail(
       RESULT_CODES.LEADERSHIP_LOST,
       "Another replica owns the program now",
@@ -299,8 +327,8 @@
   }
 }
 
-/** Returns the recorded end of a call. */
-export function describeRecorded(
+/** Creates the reply to a call from its recorded end. */
+export function createRecordedReply(
   program: ProgramRecord,
   call: CallRecord,
 ): Outcome<RunCallReply> {
--- a/packages/replica/src/calls/call_runner_test.ts
+++ b/packages/replica/src/calls/call_runner_test.ts
@@ -26,8 +26,8 @@
 const ANSWER: Answer = { text: "done", finish: "200", usage: NO_USAGE };
 const MAX_ATTEMPTS = 4;
 
-/** What a sidecar does with one attempt, or that there is none. */
-const FATES = {
+/** How a sidecar handles one attempt; ABSENT if no sidecar is available. */
+const STEPS = {
   ANSWERS: "answers",
   REFUSES: "refuses",
   RUNS_AND_FAILS: "runs and fails",
@@ -35,21 +35,23 @@
   ABSENT: "absent",
 } as const;
 
-type Fate = typeof FATES[keyof typeof FATES];
+type Step = typeof STEPS[keyof typeof STEPS];
 
-/** A sidecar whose fates are given beforehand; counts what ran. */
-class FatedSidecar implements Caller {
+/**
+ * A sidecar that follows a script of steps and counts the attempts that ran.
+ */
+class ScriptedSidecar implements Caller {
   runs = 0;
-  readonly #fates: Fate[];
+  readonly #steps: Step[];
 
-  constructor(fates: readonly Fate[]) {
-    this.#fates = [...fates];
+  constructor(script: readonly Step[]) {
+    this.#steps = [...script];
   }
 
-  /** True if the next call finds no sidecar at all. */
+  /** Returns true and consumes the next step if that step is ABSENT. */
   takeAbsence(): boolean {
-    if (this.#fates[0] !== FATES.ABSENT) return false;
-    this.#fates.shift();
+    if (this.#steps[0] !== STEPS.ABSENT) return false;
+    this.#steps.shift();
     return true;
   }
 
@@ -64,13 +66,13 @@
   #answer(name: HandlerName): Outcome<unknown> {
     if (name === "attempts.recover") return Ok({ state: "outcome_unknown" });
     if (name !== "attempts.dispatch") return Ok({});
-    const fate = this.#fates.shift() ?? FATES.ANSWERS;
-    if (fate === FATES.REFUSES) return fail(RESULT_CODES.QUEUE_FULL, "Full");
+    const step = this.#steps.shift() ?? STEPS.ANSWERS;
+    if (step === STEPS.REFUSES) return fail(RESULT_CODES.QUEUE_FULL, "Full");
     this.runs++;
-    if (fate === FATES.RUNS_AND_FAILS) {
+    if (step === STEPS.RUNS_AND_FAILS) {
       return fail(RESULT_CODES.UPSTREAM_ERROR, "Broken");
     }
-    if (fate === FATES.RUNS_AND_RESTARTS) {
+    if (step === STEPS.RUNS_AND_RESTARTS) {
       return fail(RESULT_CODES.CONNECTION_LOST, "Lost");
     }
     return Ok(ANSWER);
@@ -106,7 +108,7 @@
   return { state, program, call: program.calls.get("r") as CallRecord };
 }
 
-function createOwner(state: ProgramState, sidecar: FatedSidecar): CallOwner {
+function createOwner(state: ProgramState, sidecar: ScriptedSidecar): CallOwner {
   return {
     group: 1,
     term: 1,
@@ -116,10 +118,10 @@
         sidecar.takeAbsence()
           ? fail(RESULT_CODES.NO_UPSTREAM, "None")
           : Ok(TARGET),
-      noteSent: () => undefined,
-      noteEnded: () => undefined,
-      noteAnswered: () => undefined,
-      findCaller: () => sidecar,
+      recordDispatch: () => undefined,
+      recordEnd: () => undefined,
+      recordAnswer: () => undefined,
+      getCaller: () => sidecar,
     },
     logger: SILENT_LOGGER,
     metrics: createMetrics(),
@@ -129,13 +131,13 @@
   };
 }
 
-const fates = fc.array(fc.constantFrom(...Object.values(FATES)), {
+const scripts = fc.array(fc.constantFrom(...Object.values(STEPS)), {
   maxLength: 6,
 });
 
-async function runFates(body: CallBody, listed: readonly Fate[]) {
+async function runScript(body: CallBody, script: readonly Step[]) {
   const { state, program, call } = createCall(body);
-  const sidecar = new FatedSidecar(listed);
+  const sidecar = new ScriptedSidecar(script);
   const runner = new CallRunner(createOwner(state, sidecar), {
     program,
     call,
@@ -145,9 +147,9 @@
   return { sidecar, program, outcome: await runner.listeners.end };
 }
 
-test("a refusal that says not run is true, whatever sidecars do", async (t) => {
+test("a call that ran never gets a code that guarantees that it did not run", async (t) => {
   await fc.assert(
-    fc.asyncProperty(fates, fc.boolean(), async (listed, idempotent) => {
+    fc.asyncProperty(scripts, fc.boolean(), async (script, idempotent) => {
       const body: CallBody = {
         kind: "service",
         service: "s",
@@ -155,7 +157,7 @@
         payload: "{}",
         idempotent,
       };
-      const { sidecar, outcome } = await runFates(body, listed);
+      const { sidecar, outcome } = await runScript(body, script);
       return !(outcome.err && outcome.val.code.notRun) || sidecar.runs === 0;
     }),
     { seed: SEED, numRuns: 300 },
@@ -163,9 +165,9 @@
   t.end();
 });
 
-test("a call that may not repeat runs once at most, and its end is recorded", async (t) => {
+test("a non-idempotent call runs at most once, and its end is recorded if it ran", async (t) => {
   await fc.assert(
-    fc.asyncProperty(fates, async (listed) => {
+    fc.asyncProperty(scripts, async (script) => {
       const body: CallBody = {
         kind: "service",
         service: "s",
@@ -173,7 +175,7 @@
         payload: "{}",
         idempotent: false,
       };
-      const { sidecar, program, outcome } = await runFates(body, listed);
+      const { sidecar, program, outcome } = await runScript(body, script);
       const recorded = program.history.length;
       return sidecar.runs <= 1 && recorded === sidecar.runs &&
         outcome.ok === (recorded === 1);
--- a/packages/replica/src/calls/dispatch.ts
+++ b/packages/replica/src/calls/dispatch.ts
@@ -1,4 +1,7 @@
-/** Sends attempts: what goes to the sidecar, and what the entry is told of it. */
+/**
+ * Dispatches attempts to sidecars and creates the events about them for
+ * entries.
+ */
 
 import {
   ABORTED,
@@ -14,11 +17,16 @@
 import { buildPrompt } from "./build_prompt.ts";
 import { type AttemptCall, cancelAttempt, sendAttempt } from "./run_attempt.ts";
 
-const RECOVER_IDEMPOTENT_MILLISECONDS = 1_000;
-const RECOVER_SINGLE_MILLISECONDS = 8_000;
-const LONGEST_MILLISECONDS = 2_000_000_000;
+/**
+ * How long to try to recover a lost attempt: shorter for idempotent calls,
+ * because these can simply be sent again.
+ */
+const IDEMPOTENT_RECOVERY_MILLISECONDS = 1_000;
+const NON_IDEMPOTENT_RECOVERY_MILLISECONDS = 8_000;
+/** Below the maximum delay of a Node.js timer, 2^31 - 1 ms. */
+const MAX_TIMEOUT_MILLISECONDS = 2_000_000_000;
 
-/** One attempt of one call, as its owner describes it. */
+/** The data from which the requests and events of one attempt are created. */
 export interface AttemptPlan {
   readonly group: number;
   readonly term: number;
@@ -28,50 +36,59 @@
   readonly body: CallBody;
   readonly attempt: number;
   readonly target: AttemptTarget;
-  /** Text told to the caller by earlier attempts. */
+  /** Text that the caller received from earlier attempts. */
   readonly told: string;
   readonly signal: AbortSignal;
 }
 
-/** Returns the way to an attempt, with its limits. */
-export function describeAttempt(plan: AttemptPlan, now: number): AttemptCall {
-  const left = plan.program.deadlineAt - now;
+/** Returns the client, key and time limits for requests about an attempt. */
+export function createAttemptCall(plan: AttemptPlan, now: number): AttemptCall {
+  const remainingMilliseconds = plan.program.deadlineAt - now;
   return {
-    caller: plan.placement.findCaller(plan.target.address),
-    key: formatKey(plan),
+    caller: plan.placement.getCaller(plan.target.address),
+    key: createAttemptKey(plan),
     term: plan.term,
     bootId: plan.target.bootId,
-    limitMilliseconds: Math.max(1, Math.min(left, LONGEST_MILLISECONDS)),
-    recoverMilliseconds: isIdempotent(plan.body)
-      ? RECOVER_IDEMPOTENT_MILLISECONDS
-      : RECOVER_SINGLE_MILLISECONDS,
+    timeoutMilliseconds: Math.max(
+      1,
+      Math.min(remainingMilliseconds, MAX_TIMEOUT_MILLISECONDS),
+    ),
+    recoveryMilliseconds: isIdempotent(plan.body)
+      ? IDEMPOTENT_RECOVERY_MILLISECONDS
+      : NON_IDEMPOTENT_RECOVERY_MILLISECONDS,
     signal: plan.signal,
   };
 }
 
-/** Returns what the entry is told of an attempt. */
-export function describeEvent(
+/** Creates an event about an attempt for the entry. */
+export function createEvent(
   plan: AttemptPlan,
   event: RunCallEvent["event"],
 ): RunCallEvent {
   const { address, bootId } = plan.target;
-  return { event, attempt: formatKey(plan), address, bootId, told: plan.told };
+  return {
+    event,
+    attempt: createAttemptKey(plan),
+    address,
+    bootId,
+    told: plan.told,
+  };
 }
 
 /** Dispatches an attempt and waits for its end. */
 export async function dispatchAttempt(plan: AttemptPlan): Promise<AttemptEnd> {
   const { placement, target } = plan;
-  placement.noteSent(target.sidecarId);
-  const call = describeAttempt(plan, Date.now());
-  const end = await sendAttempt(call, describeDispatch(plan));
-  placement.noteEnded(target.sidecarId);
+  placement.recordDispatch(target.sidecarId);
+  const call = createAttemptCall(plan, Date.now());
+  const end = await sendAttempt(call, createDispatchRequest(plan));
+  placement.recordEnd(target.sidecarId);
   return end;
 }
 
-function describeDispatch(plan: AttemptPlan): DispatchRequest {
+function createDispatchRequest(plan: AttemptPlan): DispatchRequest {
   const { program, body } = plan;
   return {
-    key: formatKey(plan),
+    key: createAttemptKey(plan),
     term: plan.term,
     bootId: plan.target.bootId,
     outfit: program.spec.outfit,
@@ -85,9 +102,9 @@
 }
 
 /**
- * An attempt sent while the acceptance of its call is still being committed.
- * Only idempotent calls may be sent early: if the commit fails, the attempt
- * is wasted work and nothing else.
+ * An attempt that is sent while the acceptance of its call is still being
+ * committed. Only idempotent calls may be sent early: if the commit fails, the
+ * attempt has wasted work but does no harm.
  */
 export class EarlyAttempt {
   readonly plan: AttemptPlan;
@@ -99,15 +116,15 @@
     this.end = dispatchAttempt(this.plan);
   }
 
-  /** Gives the attempt up. */
+  /** Cancels the attempt. */
   cancel(): void {
     if (this.#cancelled.signal.aborted) return;
     this.#cancelled.abort(ABORTED);
-    cancelAttempt(describeAttempt(this.plan, Date.now()));
+    cancelAttempt(createAttemptCall(this.plan, Date.now()));
   }
 }
 
-function formatKey(plan: AttemptPlan): AttemptKey {
+function createAttemptKey(plan: AttemptPlan): AttemptKey {
   return {
     group: plan.group,
     programId: plan.program.programId,
--- a/packages/replica/src/calls/run_attempt.ts
+++ b/packages/replica/src/calls/run_attempt.ts
@@ -1,4 +1,7 @@
-/** Sends one attempt to its sidecar, and finds out what became of it. */
+/**
+ * Sends an attempt to its sidecar, waits for its end and recovers it after a
+ * lost connection.
+ */
 
 import {
   type Answer,
@@ -13,10 +16,11 @@
 import type { Caller } from "@mallowlift/transport";
 import { type AttemptEnd, lost, neverRan } from "./attempt_end.ts";
 
-const ASK_MILLISECONDS = 500;
-const ASK_AGAIN_MILLISECONDS = 50;
+/** Timeout of one recover or cancel request. */
+const REQUEST_TIMEOUT_MILLISECONDS = 500;
+const RECOVERY_RETRY_MILLISECONDS = 50;
 
-/** Refusals by which a sidecar says that it has not started the attempt. */
+/** Result codes that guarantee that the sidecar has not started the attempt. */
 const SIDECAR_REFUSALS: readonly ResultCode[] = [
   RESULT_CODES.QUEUE_FULL,
   RESULT_CODES.DRAINING,
@@ -25,57 +29,60 @@
   RESULT_CODES.NOT_CONNECTED,
 ];
 
-/** An attempt whose end is wanted. */
+/** An attempt at a sidecar, with the time limits for requests about it. */
 export interface AttemptCall {
   readonly caller: Caller;
   readonly key: AttemptKey;
   readonly term: number;
   readonly bootId: string;
-  /** How long to wait for the end. */
-  readonly limitMilliseconds: number;
-  /** How long to look for a sidecar that does not answer. */
-  readonly recoverMilliseconds: number;
-  /** Aborts when the call is cancelled or the owner no longer leads. */
+  /** How long to wait for the end of the attempt. */
+  readonly timeoutMilliseconds: number;
+  /** How long to retry the recovery while the sidecar does not answer. */
+  readonly recoveryMilliseconds: number;
+  /**
+   * Aborts when the call is cancelled or this replica stops leading the group.
+   */
   readonly signal: AbortSignal;
 }
 
-/** Dispatches an attempt whose intent is committed. */
+/** Sends an attempt whose dispatch is committed, and waits for its end. */
 export async function sendAttempt(
   call: AttemptCall,
   request: DispatchRequest,
 ): Promise<AttemptEnd> {
   const outcome = await call.caller.call("attempts.dispatch", request, {
-    timeoutMilliseconds: call.limitMilliseconds,
+    timeoutMilliseconds: call.timeoutMilliseconds,
     signal: call.signal,
   });
-  return await judge(call, outcome);
+  return await resolveOutcome(call, outcome);
 }
 
 /**
- * Finds out what became of an attempt that was sent before, by this owner or
- * an earlier one. The question itself fences the attempt at its sidecar.
+ * Returns the end of an attempt that this or an earlier owner may have sent.
+ * The request also fences the attempt: a sidecar that does not know it yet will
+ * not start it later.
  */
 export async function recoverAttempt(call: AttemptCall): Promise<AttemptEnd> {
-  const request = describeAttempt(call);
-  const deadline = Date.now() + call.recoverMilliseconds;
+  const request = createRecoverRequest(call);
+  const deadline = Date.now() + call.recoveryMilliseconds;
   let error = {
     code: RESULT_CODES.CONNECTION_LOST,
     message: "The sidecar did not answer",
   };
   while (Date.now() < deadline && !call.signal.aborted) {
     const state = await call.caller.call("attempts.recover", request, {
-      timeoutMilliseconds: ASK_MILLISECONDS,
+      timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS,
       signal: call.signal,
     });
     if (state.err) {
       error = { ...state.val };
-      await sleep(ASK_AGAIN_MILLISECONDS, call.signal);
+      await sleep(RECOVERY_RETRY_MILLISECONDS, call.signal);
       continue;
     }
     if (state.val.state === "never_ran") {
       return neverRan({
         code: RESULT_CODES.NOT_CONNECTED,
-        message: "The attempt did not arrive",
+        message: "The attempt did not reach the sidecar",
       });
     }
     if (state.val.state === "outcome_unknown") {
@@ -89,10 +96,10 @@
   return lost(error);
 }
 
-/** Asks a sidecar to stop an attempt; does not wait for it. */
+/** Requests the cancellation of an attempt without waiting for the reply. */
 export function cancelAttempt(call: AttemptCall): void {
-  void call.caller.call("attempts.cancel", describeAttempt(call), {
-    timeoutMilliseconds: ASK_MILLISECONDS,
+  void call.caller.call("attempts.cancel", createRecoverRequest(call), {
+    timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS,
   });
 }
 
@@ -101,13 +108,13 @@
   request: RecoverRequest,
 ): Promise<AttemptEnd> {
   const outcome = await call.caller.call("attempts.await", request, {
-    timeoutMilliseconds: call.limitMilliseconds,
+    timeoutMilliseconds: call.timeoutMilliseconds,
     signal: call.signal,
   });
-  return await judge(call, outcome);
+  return await resolveOutcome(call, outcome);
 }
 
-async function judge(
+async function resolveOutcome(
   call: AttemptCall,
   outcome: Outcome<Answer>,
 ): Promise<AttemptEnd> {
@@ -120,6 +127,6 @@
   return lost(error);
 }
 
-function describeAttempt(call: AttemptCall): RecoverRequest {
+function createRecoverRequest(call: AttemptCall): RecoverRequest {
   return { key: call.key, term: call.term, bootId: call.bootId };
 }
--- a/packages/replica/src/configuration/configuration_owner.ts
+++ b/packages/replica/src/configuration/configuration_owner.ts
@@ -1,4 +1,6 @@
-/** Serves the configuration while this replica leads its group. */
+/**
+ * Serves the configuration while this replica leads the configuration group.
+ */
 
 import { performance } from "node:perf_hooks";
 import type { ConfigurationState } from "@mallowlift/configuration";
@@ -22,15 +24,20 @@
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
 
-const FORGET_FOLLOWER_MILLISECONDS = 60_000;
-const LEASE_MARGIN_SHARE = 4;
+/** Daemons that have not polled for this long are no longer listed. */
+const FOLLOWER_EXPIRY_MILLISECONDS = 60_000;
+/**
+ * Another holder gets a lease only when the lease has expired and a margin of
+ * a quarter of its duration has passed.
+ */
+const LEASE_MARGIN_DIVISOR = 4;
 
 interface Follower {
   revision: number;
   polledAt: number;
 }
 
-/** What the owner needs. */
+/** Dependencies of a configuration owner. */
 export interface ConfigurationOwnerOptions {
   readonly state: ConfigurationState;
   readonly getGroup: () => ReplicatedGroup | undefined;
@@ -41,7 +48,10 @@
   readonly #options: ConfigurationOwnerOptions;
   readonly #followers = new Map<string, Follower>();
   readonly #changed = new WakeSignal();
-  /** When each lease was last known to be in use, by the monotonic clock. */
+  /**
+   * When each lease was last known to be in use, by upstream; monotonic clock,
+   * ms.
+   */
   readonly #leaseUsedAt = new Map<string, number>();
   #leadingSince = 0;
 
@@ -49,27 +59,33 @@
     this.#options = options;
   }
 
-  /** Leases given by an earlier leader may still be in use. */
+  /**
+   * Starts to serve as the leader. Leases of an earlier leader may still be in
+   * use, so all leases count as used until now.
+   */
   onLeading(): void {
     this.#leadingSince = performance.now();
     this.#leaseUsedAt.clear();
     this.#changed.wake();
   }
 
-  /** Followers find the next leader by themselves. */
+  /** Stops serving. The daemons find the next leader themselves. */
   onFollowing(): void {
     this.#followers.clear();
     this.#changed.wake();
   }
 
-  /** Answers a poll: at once if something changed, else after the hold. */
+  /**
+   * Answers a poll immediately if the revision has changed. Otherwise holds the
+   * poll until a change, for at most the requested time or 10 s.
+   */
   async poll(
     request: ConfigurationPoll,
     now: number,
   ): Promise<Outcome<ConfigurationUpdate>> {
     const { state } = this.#options;
     const group = this.#options.getGroup();
-    if (group === undefined || !group.isLeading) return this.#refuse();
+    if (group === undefined || !group.isLeading) return this.#refuseNotLeader();
     this.#followers.set(request.daemonId, {
       revision: request.revision,
       polledAt: now,
@@ -80,31 +96,31 @@
     }
     const confirmed = await group.confirmLeadership();
     if (confirmed.err) return confirmed;
-    return Ok(this.#describeUpdate(request.revision));
+    return Ok(this.#createUpdate(request.revision));
   }
 
-  /** Carries out an order of an operator. */
+  /** Executes an order of an operator. */
   async order(order: ResourceOrder): Promise<Outcome<OrderResult>> {
     const group = this.#options.getGroup();
-    if (group === undefined) return this.#refuse();
+    if (group === undefined) return this.#refuseNotLeader();
     const applied = await group.propose({ type: "order", order });
     if (applied.err) return applied;
     this.#changed.wake();
     return applied.val.result as Outcome<OrderResult>;
   }
 
-  /** Gives or renews the lease on the orders to one upstream. */
+  /** Grants or renews the lease on the orders to one upstream. */
   async lease(
     request: LeaseRequest,
     now: number,
   ): Promise<Outcome<LeaseReply>> {
     const group = this.#options.getGroup();
-    if (group === undefined || !group.isLeading) return this.#refuse();
+    if (group === undefined || !group.isLeading) return this.#refuseNotLeader();
     const known = this.#options.state.findLease(request.upstream);
     if (known?.holder === request.holder) {
       return await this.#renew(group, known, now);
     }
-    const wait = known === undefined ? 0 : this.#findWait(request, now);
+    const wait = known === undefined ? 0 : this.#findLeaseWait(request, now);
     if (wait > 0) {
       return Ok({ granted: false, fencingNumber: 0, waitMilliseconds: wait });
     }
@@ -120,19 +136,19 @@
     });
   }
 
-  /** Daemons that follow the configuration, with the revision in force there. */
-  describeFollowers(now: number): readonly FollowerStatus[] {
-    const described: FollowerStatus[] = [];
+  /** Lists the daemons that follow the configuration, with their revisions. */
+  listFollowers(now: number): readonly FollowerStatus[] {
+    const statuses: FollowerStatus[] = [];
     for (const [daemonId, follower] of this.#followers) {
       const silentMilliseconds = Math.round(now - follower.polledAt);
-      if (silentMilliseconds > FORGET_FOLLOWER_MILLISECONDS) continue;
-      described.push({
+      if (silentMilliseconds > FOLLOWER_EXPIRY_MILLISECONDS) continue;
+      statuses.push({
         daemonId,
         revision: follower.revision,
         silentMilliseconds,
       });
     }
-    return described;
+    return statuses;
   }
 
   async #renew(
@@ -140,7 +156,8 @@
     lease: Lease,
     now: number,
   ): Promise<Outcome<LeaseReply>> {
-    // Noted before the answer: the holder counts from before its request.
+    // Recorded before the reply. The holder measures the lease from before its
+    // request, so for the holder it ends no later than this leader assumes.
     this.#leaseUsedAt.set(lease.upstream, now);
     const confirmed = await group.confirmLeadership();
     if (confirmed.err) return confirmed;
@@ -155,16 +172,16 @@
     });
   }
 
-  #findWait(request: LeaseRequest, now: number): number {
+  #findLeaseWait(request: LeaseRequest, now: number): number {
     const usedAt = Math.max(
       this.#leadingSince,
       this.#leaseUsedAt.get(request.upstream) ?? -Infinity,
     );
-    const margin = request.durationMilliseconds / LEASE_MARGIN_SHARE;
+    const margin = request.durationMilliseconds / LEASE_MARGIN_DIVISOR;
     return Math.max(0, usedAt + request.durationMilliseconds + margin - now);
   }
 
-  #describeUpdate(revision: number): ConfigurationUpdate {
+  #createUpdate(revision: number): ConfigurationUpdate {
     const { state } = this.#options;
     const changes = revision < 0 ? undefined : state.findChanges(revision);
     if (changes !== undefined) {
@@ -178,10 +195,10 @@
     };
   }
 
-  #refuse() {
+  #refuseNotLeader() {
     return fail(
       RESULT_CODES.NOT_LEADER,
-      "This replica does not lead the configuration",
+      "This replica does not lead the configuration group",
     );
   }
 }
--- a/packages/replica/src/mod.ts
+++ b/packages/replica/src/mod.ts
@@ -1,4 +1,6 @@
-/** The replica role. */
+/**
+ * The replica role: stores the replicated state and runs the calls of programs.
+ */
 
 export * from "./calls/attempt_end.ts";
 export * from "./calls/build_prompt.ts";
--- a/packages/replica/src/programs/program_owner.ts
+++ b/packages/replica/src/programs/program_owner.ts
@@ -1,4 +1,7 @@
-/** Owns the programs of one group while this replica leads it. */
+/**
+ * Serves the programs of one group and runs their calls while this replica
+ * leads the group.
+ */
 
 import {
   ABORTED,
@@ -42,22 +45,22 @@
   type CallOwner,
   CallRunner,
   type CallStart,
-  describeRecorded,
+  createRecordedReply,
 } from "../calls/call_runner.ts";
 import type { Placement } from "../sidecars/placement.ts";
 import type { SidecarDirectory } from "../sidecars/sidecar_directory.ts";
 import { sweepPrograms } from "./program_sweeper.ts";
 
-const RELEASE_MILLISECONDS = 1_000;
+const CACHE_RELEASE_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Limits that an owner keeps. */
+/** Limits that an owner enforces. */
 export interface OwnerLimits {
   readonly maxAttempts: number;
   readonly callsPerProgram: number;
   readonly forgetMilliseconds: number;
 }
 
-/** What an owner needs. */
+/** Dependencies of a program owner. */
 export interface ProgramOwnerOptions {
   readonly group: number;
   readonly state: ProgramState;
@@ -69,17 +72,17 @@
   readonly metrics: Metrics;
 }
 
-/** Serves the programs of one group. */
+/** The owner of the programs of one group. */
 export class ProgramOwner implements LeadershipListener {
   readonly #options: ProgramOwnerOptions;
   readonly #runners = new Map<string, CallRunner>();
   readonly #acceptor: CallAcceptor;
-  #leading = new AbortController();
+  #leadership = new AbortController();
   #term = 0;
 
   constructor(options: ProgramOwnerOptions) {
     this.#options = options;
-    this.#leading.abort(ABORTED);
+    this.#leadership.abort(ABORTED);
     const { group, state, placement, limits } = options;
     this.#acceptor = new CallAcceptor({
       group,
@@ -88,23 +91,23 @@
       callsPerProgram: limits.callsPerProgram,
       getTerm: () => this.#getGroup()?.isLeading ? this.#term : undefined,
       propose: (command) => this.#propose<CallRecord>(command),
-      confirm: () => this.#confirm(),
+      confirmLeadership: () => this.#confirmLeadership(),
     });
   }
 
-  /** Calls that are under way. */
+  /** Number of calls that are running or waiting. */
   get openCalls(): number {
     return this.#runners.size;
   }
 
-  /** Programs of the group, ended ones included. */
+  /** Number of programs of the group, including ended ones. */
   get programCount(): number {
     return this.#options.state.size;
   }
 
-  /** Takes over all open calls. */
+  /** Takes over all open calls from the previous leader. */
   onLeading(term: number): void {
-    this.#leading = new AbortController();
+    this.#leadership = new AbortController();
     this.#term = term;
     for (const program of this.#options.state.programs) {
       for (const requestId of program.openCalls) {
@@ -117,16 +120,16 @@
     void sweepPrograms({
       state,
       forgetMilliseconds: limits.forgetMilliseconds,
-      signal: this.#leading.signal,
-      end: (program, reason) => this.#end(program, reason),
+      signal: this.#leadership.signal,
+      end: (program, reason) => this.#endProgram(program, reason),
       forget: ({ programId }, now) =>
         this.#propose({ type: "forget_program", now, programId }),
     });
   }
 
-  /** Leaves all calls to the next owner. */
+  /** Stops running calls. The next leader takes them over. */
   onFollowing(): void {
-    this.#leading.abort(ABORTED);
+    this.#leadership.abort(ABORTED);
     this.#runners.clear();
   }
 
@@ -147,15 +150,15 @@
   async readProgram(
     request: ReadProgramRequest,
   ): Promise<Outcome<ProgramView>> {
-    const found = await this.#findConfirmed(request);
+    const found = await this.#findProgram(request);
     return found.map(viewProgram);
   }
 
-  /** Reads a part of a history. */
+  /** Reads a range of turns of a program's history. */
   async readHistory(
     request: ReadHistoryRequest,
   ): Promise<Outcome<HistoryPage>> {
-    const found = await this.#findConfirmed(request);
+    const found = await this.#findProgram(request);
     return found.map((program) => {
       const start = request.fromTurn - 1;
       const turns = program.history.slice(start, start + request.limit);
@@ -163,16 +166,16 @@
     });
   }
 
-  /** Ends a program and frees what engines keep for it. */
+  /** Ends a program and releases what engines have cached for it. */
   async endProgram(request: EndProgramRequest): Promise<Outcome<ProgramView>> {
-    const found = await this.#findConfirmed(request);
+    const found = await this.#findProgram(request);
     if (found.err) return found;
-    return await this.#end(found.val, request.reason);
+    return await this.#endProgram(found.val, request.reason);
   }
 
-  /** Tells which programs engines should still keep memory for. */
-  async listAlive(request: AliveRequest): Promise<Outcome<AliveReply>> {
-    const confirmed = await this.#confirm();
+  /** Returns which of the given programs still need their cache in engines. */
+  async listAlivePrograms(request: AliveRequest): Promise<Outcome<AliveReply>> {
+    const confirmed = await this.#confirmLeadership();
     if (confirmed.err) return confirmed;
     const alive = request.programIds.filter((programId) => {
       const program = this.#options.state.find(programId);
@@ -182,7 +185,10 @@
     return Ok({ alive });
   }
 
-  /** Runs a call, or joins it, and waits for its recorded end. */
+  /**
+   * Runs a call, or attaches to it if it is already running, and waits for its
+   * recorded end.
+   */
   async runCall(
     request: RunCallRequest,
     context: CallContext<RunCallEvent>,
@@ -194,10 +200,13 @@
     if (accepted.err) return accepted;
     const { program, call, early } = accepted.val;
     if (call.state === CALL_STATES.ENDED) {
-      return describeRecorded(program, call);
+      return createRecordedReply(program, call);
     }
-    if (this.#leading.signal.aborted) {
-      return fail(RESULT_CODES.LEADERSHIP_LOST, "Another replica owns it now");
+    if (this.#leadership.signal.aborted) {
+      return fail(
+        RESULT_CODES.LEADERSHIP_LOST,
+        "Another replica owns the program now",
+      );
     }
     const start = { program, call, told: request.told, early };
     const runner = this.#startRunner(start, "send");
@@ -209,10 +218,10 @@
     return await runner.listeners.end;
   }
 
-  /** Takes the text that a caller was told of a lost attempt. */
-  takeTold(told: ToldText): Outcome<Record<string, never>> {
+  /** Passes the text that a caller received from a lost attempt to the call. */
+  receiveDeliveredText(told: ToldText): Outcome<Record<string, never>> {
     const runner = this.#runners.get(formatCallKey(told));
-    runner?.listeners.takeTold(told.text);
+    runner?.listeners.setDeliveredText(told.text);
     return Ok({});
   }
 
@@ -226,11 +235,11 @@
     if (known !== undefined) return known;
     const runner = new CallRunner(this.#createCallOwner(), start);
     this.#runners.set(key, runner);
-    void this.#runCallTask(runner, { key, program, dispatch });
+    void this.#runToEnd(runner, { key, program, dispatch });
     return runner;
   }
 
-  async #runCallTask(
+  async #runToEnd(
     runner: CallRunner,
     task: {
       readonly key: string;
@@ -240,11 +249,11 @@
   ): Promise<void> {
     await runner.run(task.dispatch);
     if (this.#runners.get(task.key) === runner) this.#runners.delete(task.key);
-    this.#wakeNext(task.program);
+    this.#wakeNextCall(task.program);
     if (task.program.ended !== undefined) this.#releaseCaches(task.program);
   }
 
-  #wakeNext(program: ProgramRecord): void {
+  #wakeNextCall(program: ProgramRecord): void {
     const next = program.openCalls[0];
     if (next === undefined) return;
     const key = formatCallKey({
@@ -263,7 +272,7 @@
       placement,
       logger,
       metrics,
-      signal: this.#leading.signal,
+      signal: this.#leadership.signal,
       propose: (command) => this.#propose<CallRecord>(command),
     };
   }
@@ -281,7 +290,7 @@
     return applied.ok ? applied.val.result as Outcome<T> : applied;
   }
 
-  async #confirm(): Promise<Outcome<void>> {
+  async #confirmLeadership(): Promise<Outcome<void>> {
     const group = this.#getGroup();
     if (group === undefined) {
       return fail(RESULT_CODES.NOT_LEADER, "The group has not started");
@@ -289,10 +298,10 @@
     return await group.confirmLeadership();
   }
 
-  async #findConfirmed(
+  async #findProgram(
     request: ReadProgramRequest,
   ): Promise<Outcome<ProgramRecord>> {
-    const confirmed = await this.#confirm();
+    const confirmed = await this.#confirmLeadership();
     if (confirmed.err) return confirmed;
     const program = this.#options.state.findOwned(
       request.programId,
@@ -302,7 +311,7 @@
     return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "There is no such program");
   }
 
-  async #end(
+  async #endProgram(
     program: ProgramRecord,
     reason: EndReason,
   ): Promise<Outcome<ProgramView>> {
@@ -313,11 +322,11 @@
       reason,
     });
     if (ended.err) return ended;
-    this.#stopTree(ended.val);
+    this.#cancelTree(ended.val);
     return Ok(viewProgram(ended.val));
   }
 
-  #stopTree(program: ProgramRecord): void {
+  #cancelTree(program: ProgramRecord): void {
     for (const requestId of program.openCalls) {
       const key = formatCallKey({ programId: program.programId, requestId });
       this.#runners.get(key)?.cancel();
@@ -325,27 +334,27 @@
     this.#releaseCaches(program);
     for (const childId of program.children) {
       const child = this.#options.state.find(childId);
-      if (child !== undefined) this.#stopTree(child);
+      if (child !== undefined) this.#cancelTree(child);
     }
   }
 
   #releaseCaches(program: ProgramRecord): void {
     const { directory } = this.#options;
     for (const address of directory.listCacheAddresses(program.programId)) {
-      void directory.findCaller(address).call(
+      void directory.getCaller(address).call(
         "cache.release",
         { programId: program.programId },
-        { timeoutMilliseconds: RELEASE_MILLISECONDS },
+        { timeoutMilliseconds: CACHE_RELEASE_TIMEOUT_MILLISECONDS },
       );
     }
-    directory.cache.forgetProgram(program.programId);
+    directory.cache.removeProgram(program.programId);
   }
 }
 
 /**
- * New programs yield when the group has more waiting than it can decide in
- * time. A call does not: it may have been sent ahead of its acceptance, and a
- * refusal would promise that it did not run.
+ * Returns the urgency of a command for admission control. Under overload, new
+ * programs are rejected first. Calls are not rejected: an early attempt may
+ * already have been sent, but a rejection guarantees that the call did not run.
  */
 function findUrgency(command: ProgramCommand): Urgency {
   const isNew = command.type === "create_program";
--- a/packages/replica/src/programs/program_sweeper.ts
+++ b/packages/replica/src/programs/program_sweeper.ts
@@ -1,4 +1,7 @@
-/** Ends programs whose lease or deadline has run out, and forgets old ones. */
+/**
+ * Ends programs whose lease or deadline has expired, and deletes programs that
+ * ended long ago.
+ */
 
 import { END_REASONS, type EndReason, sleep } from "@mallowlift/core";
 import {
@@ -7,24 +10,24 @@
   type ProgramState,
 } from "@mallowlift/programs";
 
-const SWEEP_MILLISECONDS = 500;
+const SWEEP_INTERVAL_MILLISECONDS = 500;
 
-/** What the sweeper does to programs. */
+/** State and actions of the sweeper. */
 export interface SweepOptions {
   readonly state: ProgramState;
-  /** Time for which an ended program can still be read. */
+  /** How long an ended program can still be read. */
   readonly forgetMilliseconds: number;
-  /** Aborts when the replica no longer leads. */
+  /** Aborts when the replica stops leading the group. */
   readonly signal: AbortSignal;
   end(program: ProgramRecord, reason: EndReason): Promise<unknown>;
   forget(program: ProgramRecord, now: number): Promise<unknown>;
 }
 
-/** Looks through all programs again and again while the replica leads. */
+/** Checks all programs periodically while the replica leads the group. */
 export async function sweepPrograms(options: SweepOptions): Promise<void> {
   const { state, signal } = options;
   while (!signal.aborted) {
-    await sleep(SWEEP_MILLISECONDS, signal);
+    await sleep(SWEEP_INTERVAL_MILLISECONDS, signal);
     for (const program of [...state.programs]) {
       if (signal.aborted) return;
       await sweepProgram(program, options, Date.now());
@@ -50,7 +53,7 @@
   await options.forget(program, now);
 }
 
-/** Returns why a program should end now, if it should. */
+/** Returns the reason to end a program now, or undefined if there is none. */
 export function findEndReason(
   program: ProgramRecord,
   state: Pick<ProgramState, "find">,
@@ -58,7 +61,7 @@
 ): EndReason | undefined {
   if (now >= program.deadlineAt) return END_REASONS.DEADLINE;
   if (isActive(program, state)) return undefined;
-  const idle = now - findLastActivity(program, state);
+  const idle = now - findLastActivityAt(program, state);
   return idle > program.spec.leaseMilliseconds ? END_REASONS.LEASE : undefined;
 }
 
@@ -76,8 +79,11 @@
   return false;
 }
 
-/** A program whose children work is not idle. */
-function findLastActivity(
+/**
+ * Returns the last activity of a program or its descendants; activity of a
+ * descendant renews the lease.
+ */
+function findLastActivityAt(
   program: ProgramRecord,
   state: Pick<ProgramState, "find">,
 ): number {
@@ -85,7 +91,7 @@
   for (const childId of program.children) {
     const child = state.find(childId);
     if (child !== undefined) {
-      last = Math.max(last, findLastActivity(child, state));
+      last = Math.max(last, findLastActivityAt(child, state));
     }
   }
   return last;
--- a/packages/replica/src/replica_app.ts
+++ b/packages/replica/src/replica_app.ts
@@ -1,4 +1,4 @@
-/** The handlers of the replica role, in one place. */
+/** The request handlers of the replica role. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -14,15 +14,15 @@
 import type { SidecarDirectory } from "./sidecars/sidecar_directory.ts";
 import type { ReplicaStatus } from "@mallowlift/core";
 
-/** What the handlers pass their work to. */
+/** Dependencies of the handlers. */
 export interface ReplicaParts {
   readonly configuration: ConfigurationOwner;
   readonly owners: readonly ProgramOwner[];
   readonly directory: SidecarDirectory;
-  describe(): ReplicaStatus;
+  getStatus(): ReplicaStatus;
 }
 
-/** Lists what a replica serves to entries, sidecars and operators. */
+/** Creates the handlers for requests of entries, sidecars and operators. */
 export function createReplicaHandlers(parts: ReplicaParts): HandlerTable {
   const { configuration, owners, directory } = parts;
   const withOwner = <T>(
@@ -32,7 +32,7 @@
     const owner = owners[findProgramGroup(programId, owners.length) - 1];
     if (owner !== undefined) return serve(owner);
     return Promise.resolve(
-      fail(RESULT_CODES.INTERNAL, "There is no such group"),
+      fail(RESULT_CODES.INTERNAL, "The program group does not exist"),
     );
   };
   return {
@@ -51,9 +51,9 @@
       withOwner(request.programId, (owner) => owner.endProgram(request)),
     "programs.alive": (request) => {
       const owner = owners[request.group - 1];
-      if (owner !== undefined) return owner.listAlive(request);
+      if (owner !== undefined) return owner.listAlivePrograms(request);
       return Promise.resolve(
-        fail(RESULT_CODES.INTERNAL, "There is no such group"),
+        fail(RESULT_CODES.INTERNAL, "The program group does not exist"),
       );
     },
     "calls.run": (request, context) =>
@@ -61,12 +61,12 @@
     "calls.told": (request) =>
       withOwner(
         request.programId,
-        (owner) => Promise.resolve(owner.takeTold(request)),
+        (owner) => Promise.resolve(owner.receiveDeliveredText(request)),
       ),
     "sidecars.report": (request) => {
-      directory.takeReport(request, Date.now());
+      directory.applyReport(request, Date.now());
       return Promise.resolve(Ok({}));
     },
-    "replica.status": () => Promise.resolve(Ok(parts.describe())),
+    "replica.status": () => Promise.resolve(Ok(parts.getStatus())),
   };
 }
--- a/packages/replica/src/replica_role.ts
+++ b/packages/replica/src/replica_role.ts
@@ -1,4 +1,7 @@
-/** The replica role: keeps the replicated state and owns what it leads. */
+/**
+ * The replica role: stores the replicated state and serves the groups that this
+ * replica leads.
+ */
 
 import { performance } from "node:perf_hooks";
 import { ConfigurationState } from "@mallowlift/configuration";
@@ -25,20 +28,23 @@
 
 const CONFIGURATION_GROUP = 0;
 
-/** What the role needs. */
+/** Dependencies of the replica role. */
 export interface ReplicaRoleOptions {
   readonly settings: Settings;
-  /** Returns the address that other daemons reach this one at. */
+  /** Returns the address at which other daemons reach this one. */
   readonly getAddress: () => string;
   readonly links: PeerLinks;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** A replica. */
+/** The replica role of a daemon. */
 export class ReplicaRole implements Child {
   readonly name = "replica";
-  /** After a failed write nobody knows what is on the disk. */
+  /**
+   * The process must end after a failed write, because the contents of the disk
+   * are then unknown.
+   */
   readonly isFatal = true;
   readonly #options: ReplicaRoleOptions;
   readonly #directory: SidecarDirectory;
@@ -84,7 +90,7 @@
     }
   }
 
-  /** Handlers for all other daemons. */
+  /** Creates the groups and the handlers for requests of other daemons. */
   createHandlers(): HandlerTable {
     const groups = this.#createGroups();
     this.#groups = groups;
@@ -94,12 +100,12 @@
         configuration: this.#configuration,
         owners: this.#owners,
         directory: this.#directory,
-        describe: () => this.#describe(groups),
+        getStatus: () => this.#getStatus(groups),
       }),
     };
   }
 
-  /** Rejects when the disk is no longer usable. */
+  /** Rejects when the disk can no longer be used. */
   get ended(): Promise<void> {
     const groups = this.#groups;
     if (groups === undefined) return Promise.resolve();
@@ -109,9 +115,9 @@
   }
 
   /**
-   * True if every group counts this replica and follows a leader, and every
-   * live sidecar has had the time to report: an owner that knows no sidecar
-   * would refuse the calls that it takes over.
+   * Returns true if this replica is a member of every group and each group has
+   * a leader, and if every live sidecar has had time to report. An owner that
+   * does not know the sidecars would reject the calls that it takes over.
    */
   isHealthy(): boolean {
     const now = performance.now();
@@ -120,16 +126,16 @@
     return this.#groups?.isHealthy(now) ?? false;
   }
 
-  /** Opens the data folder; the groups start as soon as the site is founded. */
+  /** Opens the data folder. The groups start once the site has been founded. */
   async start(): Promise<void> {
     const groups = this.#groups;
-    if (groups === undefined) throw new Error("The handlers were not created");
+    if (groups === undefined) throw new Error("createHandlers was not called");
     await groups.open();
     this.#startedAt = performance.now();
     void groups.start();
   }
 
-  /** Hands over all leaderships, then stops. */
+  /** Hands over the leadership of all groups, then stops. */
   async stop(): Promise<void> {
     await this.#groups?.stop();
   }
@@ -152,7 +158,7 @@
     });
   }
 
-  #describe(groups: ReplicaGroups): ReplicaStatus {
+  #getStatus(groups: ReplicaGroups): ReplicaStatus {
     const now = performance.now();
     const { replica, daemon } = this.#options.settings;
     let openCalls = 0;
@@ -166,8 +172,8 @@
       incarnation: groups.incarnation,
       failureDomain: daemon.failureDomain,
       groups: groups.describe(now),
-      sidecars: this.#directory.describe(Date.now()),
-      followers: this.#configuration.describeFollowers(now),
+      sidecars: this.#directory.listStatuses(Date.now()),
+      followers: this.#configuration.listFollowers(now),
       revision: this.#state.revision,
       openCalls,
       programs,
--- a/packages/replica/src/sidecars/cache_records.ts
+++ b/packages/replica/src/sidecars/cache_records.ts
@@ -1,56 +1,63 @@
-/** Own records of which engine has how much of a program's prompt cached. */
+/** Records how much of each program's prompt the engines have cached. */
 
-const KEPT_PROGRAMS = 100_000;
+/**
+ * Limit on the records, because late events may name programs that no longer
+ * exist.
+ */
+const MAX_PROGRAMS = 100_000;
 
-interface CachedProgram {
+interface CacheRecord {
   readonly sidecarId: string;
   readonly tokens: number;
 }
 
-/** Cached tokens by program; each program remembers its latest engines. */
+/** Cached tokens by program and sidecar. */
 export class CacheRecords {
-  readonly #programs = new Map<string, CachedProgram[]>();
+  readonly #programs = new Map<string, CacheRecord[]>();
 
-  /** Notes what an engine holds of a program; 0 for nothing. */
-  note(sidecarId: string, programId: string, tokens: number): void {
+  /**
+   * Records how many tokens of a program an engine has cached; 0 removes the
+   * record.
+   */
+  recordTokens(sidecarId: string, programId: string, tokens: number): void {
     const known = this.#programs.get(programId) ?? [];
     const others = known.filter((cached) => cached.sidecarId !== sidecarId);
     if (tokens > 0) others.push({ sidecarId, tokens });
     this.#programs.delete(programId);
     if (others.length > 0) this.#programs.set(programId, others);
-    if (this.#programs.size > KEPT_PROGRAMS) this.#forgetOldest();
+    if (this.#programs.size > MAX_PROGRAMS) this.#evictOldest();
   }
 
-  /** Tokens of a program that an engine probably has cached. */
-  findTokens(sidecarId: string, programId: string): number {
+  /** Returns how many tokens of a program an engine probably has cached. */
+  getTokens(sidecarId: string, programId: string): number {
     const known = this.#programs.get(programId) ?? [];
     return known.find((cached) => cached.sidecarId === sidecarId)?.tokens ?? 0;
   }
 
-  /** Sidecars that may hold memory for a program. */
+  /** Lists the sidecars whose engines may have cached a program. */
   listSidecars(programId: string): readonly string[] {
     return (this.#programs.get(programId) ?? []).map((cached) =>
       cached.sidecarId
     );
   }
 
-  /** Forgets a program. */
-  forgetProgram(programId: string): void {
+  /** Removes all records of a program. */
+  removeProgram(programId: string): void {
     this.#programs.delete(programId);
   }
 
-  /** Late events may name programs that are gone, so there is a limit. */
-  #forgetOldest(): void {
+  /** Evicts the program whose records were changed least recently. */
+  #evictOldest(): void {
     for (const oldest of this.#programs.keys()) {
       this.#programs.delete(oldest);
       return;
     }
   }
 
-  /** Forgets a sidecar that has restarted. */
-  forgetSidecar(sidecarId: string): void {
+  /** Removes all records of a sidecar after it has restarted. */
+  removeSidecar(sidecarId: string): void {
     for (const programId of [...this.#programs.keys()]) {
-      this.note(sidecarId, programId, 0);
+      this.recordTokens(sidecarId, programId, 0);
     }
   }
 }
--- a/packages/replica/src/sidecars/placement.ts
+++ b/packages/replica/src/sidecars/placement.ts
@@ -1,4 +1,4 @@
-/** Places calls on sidecars by the policy of the settings. */
+/** Places calls on sidecars with the placement policy from the settings. */
 
 import {
   type CallBody,
@@ -15,10 +15,10 @@
 import { buildPrompt } from "../calls/build_prompt.ts";
 import type { SidecarDirectory } from "./sidecar_directory.ts";
 
-const FULL_RETRY_MILLISECONDS = 500;
-const ABSENT_RETRY_MILLISECONDS = 2_000;
+const QUEUE_FULL_RETRY_MILLISECONDS = 500;
+const NO_UPSTREAM_RETRY_MILLISECONDS = 2_000;
 
-/** Chooses sidecars and remembers what was sent to them. */
+/** Chooses sidecars for calls and records the attempts sent to them. */
 export class Placement {
   readonly #directory: SidecarDirectory;
   readonly #policy: PlacementPolicy;
@@ -28,11 +28,14 @@
     this.#policy = policy;
   }
 
-  /** Chooses a sidecar; those to avoid come only when there is no other. */
+  /**
+   * Chooses a sidecar. Avoided sidecars are chosen only if no other has
+   * capacity.
+   */
   place(
     program: ProgramRecord,
     body: CallBody,
-    avoid: readonly string[],
+    avoidedSidecarIds: readonly string[],
   ): Outcome<AttemptTarget> {
     const candidates = this.#directory.listCandidates(
       body,
@@ -43,13 +46,13 @@
       return fail(
         RESULT_CODES.NO_UPSTREAM,
         "No live upstream serves this call",
-        ABSENT_RETRY_MILLISECONDS,
+        NO_UPSTREAM_RETRY_MILLISECONDS,
       );
     }
     const preferred = candidates.filter((candidate) =>
-      !avoid.includes(candidate.sidecarId)
+      !avoidedSidecarIds.includes(candidate.sidecarId)
     );
-    const call = describeCall(program, body);
+    const call = createPlacementCall(program, body);
     const pool = preferred.length > 0 ? preferred : candidates;
     const chosen = this.#policy.choose(call, pool) ??
       this.#policy.choose(call, candidates);
@@ -60,39 +63,45 @@
     return fail(
       RESULT_CODES.QUEUE_FULL,
       "All queues are full",
-      FULL_RETRY_MILLISECONDS,
+      QUEUE_FULL_RETRY_MILLISECONDS,
     );
   }
 
-  /** Notes that an attempt goes to a sidecar. */
-  noteSent(sidecarId: string): void {
-    this.#directory.countOwn(sidecarId, 1);
+  /** Records that an attempt is sent to a sidecar. */
+  recordDispatch(sidecarId: string): void {
+    this.#directory.adjustOwnCalls(sidecarId, 1);
   }
 
-  /** Notes that an attempt has ended, however. */
-  noteEnded(sidecarId: string): void {
-    this.#directory.countOwn(sidecarId, -1);
+  /** Records that an attempt has ended, successfully or not. */
+  recordEnd(sidecarId: string): void {
+    this.#directory.adjustOwnCalls(sidecarId, -1);
   }
 
-  /** Notes what a sidecar's engine has cached after an answer. */
-  noteAnswered(program: ProgramRecord, sidecarId: string, usage: Usage): void {
+  /**
+   * Records how much of a program the sidecar's engine has cached after an
+   * answer.
+   */
+  recordAnswer(program: ProgramRecord, sidecarId: string, usage: Usage): void {
     const tokens = usage.promptTokens + usage.completionTokens;
-    this.#directory.cache.note(sidecarId, program.programId, tokens);
+    this.#directory.cache.recordTokens(sidecarId, program.programId, tokens);
   }
 
-  /** Returns the way to a sidecar. */
-  findCaller(address: string): Caller {
-    return this.#directory.findCaller(address);
+  /** Returns the transport client of a sidecar. */
+  getCaller(address: string): Caller {
+    return this.#directory.getCaller(address);
   }
 }
 
-/** What the task of a call uses of the placement. */
+/** The part of the placement that the task of a call uses. */
 export type CallPlacement = Pick<
   Placement,
-  "place" | "noteSent" | "noteEnded" | "noteAnswered" | "findCaller"
+  "place" | "recordDispatch" | "recordEnd" | "recordAnswer" | "getCaller"
 >;
 
-function describeCall(program: ProgramRecord, body: CallBody): PlacementCall {
+function createPlacementCall(
+  program: ProgramRecord,
+  body: CallBody,
+): PlacementCall {
   return {
     programId: program.programId,
     promptTokens: measureMessages(buildPrompt(program, body)),
--- a/packages/replica/src/sidecars/sidecar_directory.ts
+++ b/packages/replica/src/sidecars/sidecar_directory.ts
@@ -1,4 +1,4 @@
-/** What this replica knows of sidecars, from their reports. */
+/** Tracks the state of sidecars from their reports. */
 
 import type { CallBody, SidecarReport, SidecarStatus } from "@mallowlift/core";
 import type { PlacementCandidate } from "@mallowlift/scheduling";
@@ -6,40 +6,43 @@
 import type { AttemptTarget } from "@mallowlift/programs";
 import { CacheRecords } from "./cache_records.ts";
 
-/** A sidecar as candidate for one call. */
+/** A sidecar that is a candidate for one call. */
 export interface SidecarCandidate extends PlacementCandidate {
   readonly target: AttemptTarget;
 }
 
-interface KnownSidecar {
+interface SidecarState {
   report: SidecarReport;
   reportedAt: number;
-  /** Attempts of this replica that are under way. */
+  /** Attempts of this replica that are in flight. */
   ownCalls: number;
-  /** Calls of other replicas, when the last report came. */
+  /** Calls of other replicas at the time of the last report. */
   otherCalls: number;
 }
 
-/** Sidecars by id. */
+/** The known sidecars by id. */
 export class SidecarDirectory {
   readonly cache = new CacheRecords();
   readonly #links: PeerLinks;
-  readonly #silenceMilliseconds: number;
-  readonly #sidecars = new Map<string, KnownSidecar>();
+  readonly #reportTimeoutMilliseconds: number;
+  readonly #sidecars = new Map<string, SidecarState>();
 
-  constructor(links: PeerLinks, silenceMilliseconds: number) {
+  constructor(links: PeerLinks, reportTimeoutMilliseconds: number) {
     this.#links = links;
-    this.#silenceMilliseconds = silenceMilliseconds;
+    this.#reportTimeoutMilliseconds = reportTimeoutMilliseconds;
   }
 
-  /** Takes a report. */
-  takeReport(report: SidecarReport, now: number): void {
+  /**
+   * Applies a report. A changed boot id means that the sidecar has restarted,
+   * so its cache records are removed.
+   */
+  applyReport(report: SidecarReport, now: number): void {
     const known = this.#sidecars.get(report.sidecarId);
     if (known !== undefined && known.report.bootId !== report.bootId) {
-      this.cache.forgetSidecar(report.sidecarId);
+      this.cache.removeSidecar(report.sidecarId);
     }
     const ownCalls = known?.ownCalls ?? 0;
-    // What a report counts beyond the own calls belongs to other replicas.
+    // The other calls in the report belong to other replicas.
     const otherCalls = Math.max(0, report.running + report.queued - ownCalls);
     this.#sidecars.set(report.sidecarId, {
       report,
@@ -48,11 +51,18 @@
       otherCalls,
     });
     for (const change of report.cacheChanges) {
-      this.cache.note(report.sidecarId, change.programId, change.tokens);
+      this.cache.recordTokens(
+        report.sidecarId,
+        change.programId,
+        change.tokens,
+      );
     }
   }
 
-  /** Returns the sidecars that could run a call now. */
+  /**
+   * Lists the sidecars that can serve a call, have reported recently and are
+   * not draining.
+   */
   listCandidates(
     body: CallBody,
     programId: string,
@@ -60,14 +70,16 @@
   ): readonly SidecarCandidate[] {
     const candidates: SidecarCandidate[] = [];
     for (const known of this.#sidecars.values()) {
-      if (now - known.reportedAt > this.#silenceMilliseconds) continue;
+      if (now - known.reportedAt > this.#reportTimeoutMilliseconds) continue;
       if (known.report.draining || !canServe(known.report, body)) continue;
-      candidates.push(this.#describe(known, programId));
+      candidates.push(this.#createCandidate(known, programId));
     }
     return candidates;
   }
 
-  /** Addresses of sidecars whose engines may hold memory for a program. */
+  /**
+   * Lists the addresses of sidecars whose engines may have cached a program.
+   */
   listCacheAddresses(programId: string): readonly string[] {
     const addresses: string[] = [];
     for (const sidecarId of this.cache.listSidecars(programId)) {
@@ -77,27 +89,30 @@
     return addresses;
   }
 
-  /** Notes that attempts of this replica were sent, or with -1 that one ended. */
-  countOwn(sidecarId: string, change: number): void {
+  /**
+   * Changes the number of this replica's attempts in flight: 1 when one is
+   * sent, -1 when one ends.
+   */
+  adjustOwnCalls(sidecarId: string, change: number): void {
     const known = this.#sidecars.get(sidecarId);
     if (known === undefined) return;
     known.ownCalls = Math.max(0, known.ownCalls + change);
   }
 
-  /** Returns the way to a sidecar. */
-  findCaller(address: string): Caller {
+  /** Returns the transport client of a sidecar. */
+  getCaller(address: string): Caller {
     return this.#links.get(address);
   }
 
-  /** All sidecars, for operators. */
-  describe(now: number): readonly SidecarStatus[] {
+  /** Lists the status of all sidecars for operators. */
+  listStatuses(now: number): readonly SidecarStatus[] {
     return [...this.#sidecars.values()].map((known) => ({
       report: known.report,
       lastReportAt: Math.round(now - known.reportedAt),
     }));
   }
 
-  #describe(known: KnownSidecar, programId: string): SidecarCandidate {
+  #createCandidate(known: SidecarState, programId: string): SidecarCandidate {
     const { report } = known;
     const { sidecarId, bootId, address } = report;
     return {
@@ -108,7 +123,7 @@
       slots: report.slots,
       queueLimit: report.queueLimit,
       stepMilliseconds: report.stepMilliseconds,
-      cachedTokens: this.cache.findTokens(sidecarId, programId),
+      cachedTokens: this.cache.getTokens(sidecarId, programId),
       target: { sidecarId, bootId, address },
     };
   }
