--- a/packages/consensus/src/replica_groups.ts
+++ b/packages/consensus/src/replica_groups.ts
@@ -71,7 +71,7 @@
     mkdirSync(this.#options.dataFolder, { recursive: true });
     await waitUntilWritable(this.#options.dataFolder, {
       signal: this.#stopped.signal,
-      onRefused: (reason) =>
+      onWriteFailure: (reason) =>
         this.#options.logger.warn("Waiting for the disk", { reason }),
     });
     this.#folder = await DataFolder.open(this.#options.dataFolder, {
--- a/packages/consensus/src/storage/data_folder.ts
+++ b/packages/consensus/src/storage/data_folder.ts
@@ -1,4 +1,7 @@
-/** The data folder of a replica, and the incarnation it stands for. */
+/**
+ * The data folder of a replica: its identity, the write-ahead log and the
+ * snapshots. Opening a folder restores the stored state of every group.
+ */
 
 import { randomUUID } from "node:crypto";
 import { existsSync, mkdirSync, readFileSync } from "node:fs";
@@ -13,15 +16,15 @@
 } from "@mallowlift/core";
 import { replaceFile } from "./durable_file.ts";
 import {
+  type NewSnapshot,
   type Snapshot,
-  type SnapshotContent,
   SnapshotStore,
 } from "./snapshot_store.ts";
 import { type LogRecord, WriteAheadLog } from "./write_ahead_log.ts";
 
 const FORMAT_VERSION = 3;
-/** Version 2 has no batches, and snapshots of one record; both are read. */
-const READABLE_VERSIONS: readonly number[] = [2, FORMAT_VERSION];
+/** Format 2 has no batch records, and stores a snapshot as a single record. */
+const READABLE_FORMAT_VERSIONS: readonly number[] = [2, FORMAT_VERSION];
 
 interface IdentityFile {
   readonly format: number;
@@ -29,7 +32,7 @@
   readonly incarnation: string;
 }
 
-/** What the folder held for one group when it was opened. */
+/** Stored state of one group at the time when the folder was opened. */
 export interface StoredGroup {
   readonly group: number;
   readonly term: number;
@@ -39,10 +42,11 @@
 }
 
 /**
- * Longest wait at a stop for a snapshot that is being written, ms: far above a
- * usual one, and short beside the time in which a planned stop has to end.
+ * Longest wait on close for a snapshot that is being written, ms. It is far
+ * longer than a usual write, and short compared with the time that a planned
+ * stop may take.
  */
-const CLOSE_MILLISECONDS = 1_000;
+const CLOSE_TIMEOUT_MILLISECONDS = 1_000;
 
 /** An open data folder. */
 export class DataFolder {
@@ -51,18 +55,19 @@
   readonly snapshots: SnapshotStore;
   readonly #stored = new Map<number, StoredGroup>();
   readonly #snapshotIndexes = new Map<number, number>();
-  readonly #snapshotTurns = new TurnQueue();
+  readonly #snapshotQueue = new TurnQueue();
 
   private constructor(path: string, identity: ReplicaIdentity) {
     this.identity = identity;
-    // All files lie in the one folder, whose sync covers every name.
+    // All files are in one folder, so syncing that folder covers every name.
     this.log = new WriteAheadLog(path);
     this.snapshots = new SnapshotStore(path);
   }
 
   /**
-   * Opens a folder. A new folder gets a new incarnation, which is on disk
-   * before anyone hears of it.
+   * Opens a folder. A new folder gets a new incarnation, which is written to
+   * disk before it is sent to any other replica. Throws if the folder belongs
+   * to another replica, has an unsupported format or is damaged.
    */
   static async open(path: string, options: {
     readonly replicaId: string;
@@ -83,7 +88,7 @@
     return folder;
   }
 
-  /** True if the folder holds a founding or anything later. */
+  /** True if the folder holds a founding snapshot or any later state. */
   get isFounded(): boolean {
     for (const stored of this.#stored.values()) {
       if (stored.snapshot !== undefined || stored.entries.length > 0) {
@@ -93,7 +98,7 @@
     return false;
   }
 
-  /** What the folder held for a group. */
+  /** Returns the state of a group that was found on opening the folder. */
   getStored(group: number): StoredGroup {
     const empty = {
       group,
@@ -105,18 +110,18 @@
     return this.#stored.get(group) ?? empty;
   }
 
-  /** Writes the founding of a group. */
+  /** Writes the founding snapshot of a group: its first members and no state. */
   async saveFounding(group: number, members: readonly Member[]): Promise<void> {
-    const point = { group, lastIndex: 0, lastTerm: 0, members };
-    await this.saveSnapshot({ ...point, parts: [] });
+    const metadata = { group, lastIndex: 0, lastTerm: 0, members };
+    await this.saveSnapshot({ ...metadata, parts: [] });
     const stored = this.getStored(group);
-    const snapshot = { ...point, state: Buffer.alloc(0) };
+    const snapshot = { ...metadata, state: Buffer.alloc(0) };
     this.#stored.set(group, { ...stored, snapshot });
   }
 
-  /** Saves a snapshot of the own state and drops what it makes superfluous. */
-  async saveSnapshot(snapshot: SnapshotContent): Promise<void> {
-    await this.#snapshotTurns.run(async () => {
+  /** Saves a snapshot of the local state and removes the log segments that it covers. */
+  async saveSnapshot(snapshot: NewSnapshot): Promise<void> {
+    await this.#snapshotQueue.run(async () => {
       if (!await this.#saveIfNewer(snapshot)) return;
       await this.log.prune(this.#snapshotIndexes);
     });
@@ -124,26 +129,26 @@
 
   /** Saves a snapshot that replaces the whole log of its group. */
   async installSnapshot(snapshot: Snapshot): Promise<void> {
-    const { state, ...point } = snapshot;
-    const { group, lastIndex } = point;
-    await this.#snapshotTurns.run(async () => {
-      if (!await this.#saveIfNewer({ ...point, parts: [state] })) return;
-      // Pruning waits for the reset: until then the entry at the snapshot's
-      // index is needed to tell whether later entries follow from it.
+    const { state, ...metadata } = snapshot;
+    const { group, lastIndex } = metadata;
+    await this.#snapshotQueue.run(async () => {
+      if (!await this.#saveIfNewer({ ...metadata, parts: [state] })) return;
+      // The log is pruned only after the reset. Until then, the entry at the
+      // snapshot's index shows whether later entries continue the snapshot.
       await this.log.append([{ kind: "reset", group, index: lastIndex }]);
       await this.log.prune(this.#snapshotIndexes);
     });
   }
 
-  /** Waits a while for a snapshot that is being written, then closes the log. */
+  /** Waits up to a timeout for a snapshot that is being written, then closes the log. */
   async close(): Promise<void> {
-    await waitAtMost(this.#snapshotTurns.idle, CLOSE_MILLISECONDS);
+    await waitAtMost(this.#snapshotQueue.idle, CLOSE_TIMEOUT_MILLISECONDS);
     await this.log.close();
   }
 
-  async #saveIfNewer(snapshot: SnapshotContent): Promise<boolean> {
-    const known = this.#snapshotIndexes.get(snapshot.group) ?? -1;
-    if (snapshot.lastIndex <= known) return false;
+  async #saveIfNewer(snapshot: NewSnapshot): Promise<boolean> {
+    const latestIndex = this.#snapshotIndexes.get(snapshot.group) ?? -1;
+    if (snapshot.lastIndex <= latestIndex) return false;
     await this.snapshots.save(snapshot);
     this.#snapshotIndexes.set(snapshot.group, snapshot.lastIndex);
     return true;
@@ -151,8 +156,8 @@
 
   #loadGroup(group: number, records: readonly LogRecord[]): void {
     const snapshot = this.snapshots.load(group);
-    const base = snapshot?.lastIndex ?? 0;
-    if (snapshot !== undefined) this.#snapshotIndexes.set(group, base);
+    const snapshotIndex = snapshot?.lastIndex ?? 0;
+    if (snapshot !== undefined) this.#snapshotIndexes.set(group, snapshotIndex);
     let term = 0;
     let votedFor = "";
     let entries: LogEntry[] = [];
@@ -164,30 +169,34 @@
       } else if (record.kind === "reset") {
         entries = [];
       } else {
-        replaceFrom(entries, record.entry);
+        appendEntry(entries, record.entry);
       }
     }
-    if (!followsFrom(snapshot, entries)) entries = [];
-    entries = entries.filter((entry) => entry.index > base);
+    if (!isConsistentWithSnapshot(snapshot, entries)) entries = [];
+    entries = entries.filter((entry) => entry.index > snapshotIndex);
     const first = entries[0];
-    if (first !== undefined && first.index !== base + 1) {
-      throw new Error(`Log of group ${group} lacks entries after ${base}`);
+    if (first !== undefined && first.index !== snapshotIndex + 1) {
+      throw new Error(
+        `Log of group ${group} is missing entries after index ${snapshotIndex}`,
+      );
     }
     this.#stored.set(group, { group, term, votedFor, snapshot, entries });
   }
 }
 
-function replaceFrom(entries: LogEntry[], entry: LogEntry): void {
-  // A segment may be missing before this one, so positions tell no index.
+/** Appends an entry; it replaces any entries from its index onwards. */
+function appendEntry(entries: LogEntry[], entry: LogEntry): void {
+  // Earlier segments may have been pruned, so an array position is not an index.
   while ((entries.at(-1)?.index ?? -Infinity) >= entry.index) entries.pop();
   entries.push(entry);
 }
 
 /**
- * After a crash between the install of a snapshot and the reset of the log,
- * the log may hold entries of another history than the snapshot's.
+ * Returns true if the entries continue the history of the snapshot. After a
+ * crash between installing a snapshot and resetting the log, the log may hold
+ * entries that conflict with the snapshot.
  */
-function followsFrom(
+function isConsistentWithSnapshot(
   snapshot: Snapshot | undefined,
   entries: readonly LogEntry[],
 ): boolean {
@@ -213,9 +222,9 @@
       `Data folder belongs to replica ${found.replicaId}, not ${replicaId}`,
     );
   }
-  if (!READABLE_VERSIONS.includes(found.format)) {
+  if (!READABLE_FORMAT_VERSIONS.includes(found.format)) {
     throw new Error(
-      `Data folder has format ${found.format}, not ${FORMAT_VERSION}`,
+      `Data folder has unsupported format ${found.format}; the current format is ${FORMAT_VERSION}`,
     );
   }
   const identity = { replicaId, incarnation: found.incarnation };
--- a/packages/consensus/src/storage/data_folder_test.ts
+++ b/packages/consensus/src/storage/data_folder_test.ts
@@ -39,7 +39,7 @@
   return readdirSync(path).filter((name) => name.startsWith("log-"));
 }
 
-test("votes and entries last; a replaced suffix stays replaced", async (t) => {
+test("votes, entries and a replaced log suffix are restored after a restart", async (t) => {
   const path = t.testdir();
   const first = await open(path);
   await first.log.append([{ kind: "vote", group: 1, term: 3, votedFor: "r2" }]);
@@ -62,7 +62,7 @@
   await again.log.close();
 });
 
-test("a new folder is a new incarnation", async (t) => {
+test("a new folder gets a new incarnation", async (t) => {
   const path = t.testdir();
   const first = await open(path);
   await first.log.close();
@@ -73,7 +73,7 @@
   await second.log.close();
 });
 
-test("a torn tail is cut back, damage before it stops the replica", async (t) => {
+test("a torn tail is truncated, and corruption before it fails the start", async (t) => {
   const path = t.testdir();
   const first = await open(path);
   await appendEntries(first, [createEntry(1, 1), createEntry(2, 1)]);
@@ -91,7 +91,7 @@
   await t.rejects(open(path), /damaged/);
 });
 
-test("snapshots prune segments, and the votes outlive the pruning", async (t) => {
+test("snapshots prune log segments, and votes survive the pruning", async (t) => {
   const path = t.testdir();
   const folder = await open(path);
   await folder.log.append([{
@@ -124,7 +124,7 @@
   await again.log.close();
 });
 
-test("entries that do not follow from an installed snapshot are dropped", async (t) => {
+test("entries that conflict with an installed snapshot are dropped", async (t) => {
   const path = t.testdir();
   const folder = await open(path);
   await appendEntries(folder, [
@@ -133,7 +133,7 @@
     createEntry(3, 1),
   ]);
   await folder.log.close();
-  // As after a crash between the snapshot and the reset of the log.
+  // Simulates a crash between saving the snapshot and resetting the log.
   await folder.snapshots.save({
     group: 1,
     lastIndex: 2,
@@ -146,7 +146,7 @@
   await again.log.close();
 });
 
-test("an append after the close neither counts nor fails the replica", async (t) => {
+test("an append after close neither completes nor fails the replica", async (t) => {
   const path = t.testdir();
   const folder = await open(path);
   await folder.log.close();
@@ -156,7 +156,7 @@
   t.equal(await Promise.race([late, failed, waited]), "nothing");
 });
 
-test("a batch that power took in its middle is cut, also if its end was written", async (t) => {
+test("a batch torn in its middle by a power loss is truncated, even if its end was written", async (t) => {
   const path = t.testdir();
   const first = await open(path);
   await appendEntries(first, [createEntry(1, 1)]);
@@ -165,7 +165,7 @@
   const synced = readFileSync(file).length;
   await appendEntries(first, [2, 3, 4].map((index) => createEntry(index, 1)));
   await first.log.close();
-  // Pages of one write reach the disk in any order.
+  // The pages of one write may reach the disk in any order.
   const bytes = readFileSync(file);
   writeFileSync(file, bytes.fill(0, synced, synced + 24));
   const again = await open(path);
@@ -174,7 +174,7 @@
   await again.log.close();
 });
 
-test("a segment whose removal power undid changes nothing", async (t) => {
+test("a pruned segment that reappears after a power loss changes nothing", async (t) => {
   const path = t.testdir();
   const large = 9 * 1_024 * 1_024;
   const first = await open(path);
--- a/packages/consensus/src/storage/durable_file.ts
+++ b/packages/consensus/src/storage/durable_file.ts
@@ -1,10 +1,10 @@
-/** Files that are whole and synced, or not there at all. */
+/** Atomic, durable replacement of files. */
 
 import { open, rename } from "node:fs/promises";
 import { dirname } from "node:path";
 import { Buffer } from "node:buffer";
 
-/** Syncs a folder, so that names made or removed in it last. */
+/** Syncs a folder, so that files created or removed in it stay so after a crash. */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, "r");
   try {
@@ -14,16 +14,16 @@
   }
 }
 
-/** Bytes that are gathered before they are written: small parts cost a call each. */
-const GATHERED_BYTES = 262_144;
+/** Size of the write buffer, bytes. Without it, each small part costs a system call. */
+const WRITE_BUFFER_BYTES = 262_144;
 /**
- * Bytes after which a file that is being written is synced, so that the log on
- * the same disk waits no longer for its own sync: some 10 ms at 100 MB/s, where
- * a whole state of 80 MB would hold it up for most of a second.
+ * Bytes written between two syncs of a file. A sync of the log on the same disk
+ * then waits about 10 ms at 100 MB/s; if a whole state of 80 MB were synced at
+ * once, it would wait for most of a second.
  */
-const SYNCED_BYTES = 1_048_576;
+const SYNC_INTERVAL_BYTES = 1_048_576;
 
-/** Replaces a file; after a crash either the old or the new content is there. */
+/** Replaces a file atomically: after a crash it holds either the old or the new content. */
 export async function replaceFile(
   path: string,
   parts: readonly Uint8Array[],
@@ -31,13 +31,13 @@
   const temporary = `${path}.new`;
   const handle = await open(temporary, "w");
   try {
-    let unsynced = 0;
-    for (const bytes of gatherParts(parts)) {
+    let unsyncedBytes = 0;
+    for (const bytes of combineParts(parts)) {
       await handle.writeFile(bytes);
-      unsynced += bytes.length;
-      if (unsynced < SYNCED_BYTES) continue;
+      unsyncedBytes += bytes.length;
+      if (unsyncedBytes < SYNC_INTERVAL_BYTES) continue;
       await handle.datasync();
-      unsynced = 0;
+      unsyncedBytes = 0;
     }
     await handle.sync();
   } finally {
@@ -48,23 +48,23 @@
 }
 
 /**
- * Joins small parts into larger writes, in one buffer that serves them all:
- * what is yielded is overwritten by the next.
+ * Combines small parts into larger writes. All writes share one buffer, so each
+ * yielded chunk is valid only until the next one is requested.
  */
-function* gatherParts(parts: readonly Uint8Array[]): Iterable<Uint8Array> {
-  const gathered = Buffer.allocUnsafe(GATHERED_BYTES);
+function* combineParts(parts: readonly Uint8Array[]): Iterable<Uint8Array> {
+  const buffer = Buffer.allocUnsafe(WRITE_BUFFER_BYTES);
   let size = 0;
   for (const part of parts) {
-    if (size + part.length > GATHERED_BYTES) {
-      yield gathered.subarray(0, size);
+    if (size + part.length > WRITE_BUFFER_BYTES) {
+      yield buffer.subarray(0, size);
       size = 0;
     }
-    if (part.length > GATHERED_BYTES) {
+    if (part.length > WRITE_BUFFER_BYTES) {
       yield part;
       continue;
     }
-    gathered.set(part, size);
+    buffer.set(part, size);
     size += part.length;
   }
-  yield gathered.subarray(0, size);
+  yield buffer.subarray(0, size);
 }
--- a/packages/consensus/src/storage/record.ts
+++ b/packages/consensus/src/storage/record.ts
@@ -1,4 +1,4 @@
-/** Records on disk: magic, length, checksum, CBOR. */
+/** Encoding of records on disk: magic number, length, checksum, CBOR payload. */
 
 import { Buffer } from "node:buffer";
 import { crc32 } from "node:zlib";
@@ -8,8 +8,8 @@
 const HEADER_BYTES = 12;
 const MAX_RECORD_BYTES = 1_073_741_824;
 
-/** What was found at an offset of a file. */
-export interface FoundRecord {
+/** A record that was read from a file. */
+export interface DecodedRecord {
   readonly value: unknown;
   /** Offset of the byte after the record. */
   readonly end: number;
@@ -26,11 +26,11 @@
   return record;
 }
 
-/** Reads the record at an offset; undefined if there is no whole one. */
+/** Reads the record at an offset; undefined if there is no complete, valid record. */
 export function readRecord(
   file: Buffer,
   offset: number,
-): FoundRecord | undefined {
+): DecodedRecord | undefined {
   if (offset + HEADER_BYTES > file.length) return undefined;
   if (file.readUInt32BE(offset) !== MAGIC) return undefined;
   const length = file.readUInt32BE(offset + 4);
@@ -45,22 +45,22 @@
   }
 }
 
-/** All whole records of a file, and what follows them. */
+/** Result of scanning a file for records. */
 export interface ScannedFile {
   readonly values: readonly unknown[];
-  /** Offset after the last whole record. */
+  /** Offset of the byte after the last complete record. */
   readonly end: number;
-  /** True if a whole record follows damage, so that the damage is no torn tail. */
-  readonly damagedInside: boolean;
+  /** True if a complete record follows invalid bytes, so that they are not a torn tail. */
+  readonly isCorrupted: boolean;
 }
 
 /**
- * Reads the records of a file from its start.
+ * Reads the records of a file from its start up to the first invalid byte.
  *
  * @example
  * ```ts
  * const scanned = scanRecords(readFileSync(path));
- * if (scanned.damagedInside) throw new Error("The log is damaged");
+ * if (scanned.isCorrupted) throw new Error("Log is corrupted");
  * truncateSync(path, scanned.end);
  * ```
  */
@@ -73,7 +73,7 @@
     end = found.end;
     found = readRecord(file, end);
   }
-  return { values, end, damagedInside: hasRecordAfter(file, end) };
+  return { values, end, isCorrupted: hasRecordAfter(file, end) };
 }
 
 function hasRecordAfter(file: Buffer, offset: number): boolean {
--- a/packages/consensus/src/storage/record_test.ts
+++ b/packages/consensus/src/storage/record_test.ts
@@ -9,20 +9,20 @@
   maxLength: 8,
 });
 
-test("a file cut anywhere yields its whole records and a torn tail", (t) => {
+test("a file truncated anywhere yields its complete records and a torn tail", (t) => {
   fc.assert(
     fc.property(values, fc.nat(), (written, cut) => {
       const file = Buffer.concat(written.map(encodeRecord));
       const scanned = scanRecords(file.subarray(0, cut % (file.length + 1)));
       t.same(scanned.values, written.slice(0, scanned.values.length));
-      t.notOk(scanned.damagedInside);
+      t.notOk(scanned.isCorrupted);
     }),
     { seed: SEED, numRuns: 100 },
   );
   t.end();
 });
 
-test("a changed byte before the last record is damage, never other content", (t) => {
+test("a changed byte before the last record is reported as corruption, never as data", (t) => {
   fc.assert(
     fc.property(
       values,
@@ -36,7 +36,7 @@
         const scanned = scanRecords(file);
         t.same(scanned.values, written.slice(0, scanned.values.length));
         const isLast = position >= file.length - (records.at(-1)?.length ?? 0);
-        t.equal(scanned.damagedInside, !isLast);
+        t.equal(scanned.isCorrupted, !isLast);
       },
     ),
     { seed: SEED, numRuns: 200 },
@@ -44,7 +44,7 @@
   t.end();
 });
 
-test("no file makes the scan throw", (t) => {
+test("the scan does not throw for arbitrary bytes", (t) => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
       scanRecords(Buffer.from(bytes));
--- a/packages/consensus/src/storage/snapshot_store.ts
+++ b/packages/consensus/src/storage/snapshot_store.ts
@@ -1,53 +1,54 @@
-/** Snapshots on disk, one file per group. */
+/** Stores snapshots on disk, one file per group. */
 
 import { Buffer } from "node:buffer";
 import { existsSync, mkdirSync, readFileSync } from "node:fs";
 import { type FileHandle, open } from "node:fs/promises";
 import { join } from "node:path";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as yieldToEventLoop } from "node:timers/promises";
 import { crc32 } from "node:zlib";
 import type { Member } from "@mallowlift/core";
 import { replaceFile } from "./durable_file.ts";
 import { encodeRecord, readRecord } from "./record.ts";
 
-/** Bytes that hold the record before the state, at most: it names the members. */
+/** Largest size of the header record, which lists the members, bytes. */
 const MAX_HEADER_BYTES = 65_536;
 
 /**
- * Bytes that are made and summed up in one go: a few ms of a whole core, so that
- * heartbeats get through on a tenth of one.
+ * Bytes of state that are encoded and checksummed before yielding to the event
+ * loop. They take a few ms on a full core, so that heartbeats are sent in time
+ * even on a tenth of a core.
  */
-const SUMMED_BYTES = 65_536;
+const YIELD_INTERVAL_BYTES = 65_536;
 
-/** Which state of a group a snapshot holds: the one after its entry `lastIndex`. */
-export interface SnapshotPoint {
+/** Metadata of a snapshot, which holds the state after the entry `lastIndex`. */
+export interface SnapshotMetadata {
   readonly group: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
   readonly members: readonly Member[];
 }
 
-/** A snapshot with the state in memory. */
-export interface Snapshot extends SnapshotPoint {
-  /** State machine, in its own encoding; empty before the first command. */
+/** A snapshot whose state is in memory. */
+export interface Snapshot extends SnapshotMetadata {
+  /** State in the encoding of the state machine; empty before the first command. */
   readonly state: Uint8Array;
 }
 
-/** A snapshot to be written. */
-export interface SnapshotContent extends SnapshotPoint {
-  /** State machine, in parts that follow each other; gone through once. */
+/** A snapshot that is to be saved. */
+export interface NewSnapshot extends SnapshotMetadata {
+  /** Encoded state in consecutive parts; iterated once. */
   readonly parts: Iterable<Uint8Array>;
 }
 
-/** First record of a file; the state follows it as it is. */
-interface SnapshotHeader extends SnapshotPoint {
+/** First record of a snapshot file; the raw bytes of the state follow it. */
+interface SnapshotHeader extends SnapshotMetadata {
   readonly stateBytes: number;
   readonly stateChecksum: number;
 }
 
-/** A snapshot that is read from its file piece by piece. */
+/** An open snapshot file that is read in chunks. */
 export class StoredSnapshot {
-  readonly point: SnapshotPoint;
+  readonly point: SnapshotMetadata;
   /** Size of the state, bytes. */
   readonly size: number;
   readonly #handle: FileHandle;
@@ -64,21 +65,21 @@
     this.#stateOffset = file.stateOffset;
   }
 
-  /** Reads a piece of the state; throws if the file is shorter. */
+  /** Reads a chunk of the state; throws if the file is truncated. */
   async read(offset: number, length: number): Promise<Uint8Array> {
-    const piece = Buffer.alloc(Math.min(length, this.size - offset));
-    let done = 0;
-    while (done < piece.length) {
+    const chunk = Buffer.alloc(Math.min(length, this.size - offset));
+    let bytesDone = 0;
+    while (bytesDone < chunk.length) {
       const { bytesRead } = await this.#handle.read(
-        piece,
-        done,
-        piece.length - done,
-        this.#stateOffset + offset + done,
+        chunk,
+        bytesDone,
+        chunk.length - bytesDone,
+        this.#stateOffset + offset + bytesDone,
       );
-      if (bytesRead === 0) throw new Error("The snapshot is cut short");
-      done += bytesRead;
+      if (bytesRead === 0) throw new Error("Snapshot file is truncated");
+      bytesDone += bytesRead;
     }
-    return piece;
+    return chunk;
   }
 
   /** Closes the file. */
@@ -104,29 +105,29 @@
     const found = readRecord(file, 0);
     const damaged = new Error(`Snapshot of group ${group} is damaged`);
     if (found === undefined) throw damaged;
-    const { stateBytes, stateChecksum, ...point } = found
+    const { stateBytes, stateChecksum, ...metadata } = found
       .value as SnapshotHeader;
     const state = file.subarray(found.end, found.end + stateBytes);
     if (state.length < stateBytes || crc32(state) !== stateChecksum) {
       throw damaged;
     }
-    return { ...point, state };
+    return { ...metadata, state };
   }
 
-  /** Brings a snapshot of format 2, which is one record, into the newest one. */
+  /** Converts a snapshot of format 2, which is a single record, to the current format. */
   async convert(group: number): Promise<void> {
     const path = this.#findPath(group);
     if (!existsSync(path)) return;
     const found = readRecord(readFileSync(path), 0);
     const value = found?.value as Partial<Snapshot> | undefined;
     if (value?.state === undefined) return;
-    const { state, ...point } = value as Snapshot;
-    await this.save({ ...point, parts: [state] });
+    const { state, ...metadata } = value as Snapshot;
+    await this.save({ ...metadata, parts: [state] });
   }
 
   /**
-   * Opens the snapshot of a group for reading; it stays readable when a newer
-   * one takes its place. Undefined if there is none.
+   * Opens the snapshot of a group for reading; undefined if there is none. It
+   * stays readable after a newer snapshot replaces the file.
    */
   async open(group: number): Promise<StoredSnapshot | undefined> {
     const path = this.#findPath(group);
@@ -145,11 +146,11 @@
     });
   }
 
-  /** Saves a snapshot in place of the earlier one. */
-  async save(snapshot: SnapshotContent): Promise<void> {
-    const { parts: made, ...point } = snapshot;
-    const { parts, stateBytes, stateChecksum } = await sumUp(made);
-    const header: SnapshotHeader = { ...point, stateBytes, stateChecksum };
+  /** Saves a snapshot, replacing the earlier one of its group. */
+  async save(snapshot: NewSnapshot): Promise<void> {
+    const { parts: lazyParts, ...metadata } = snapshot;
+    const { parts, stateBytes, stateChecksum } = await encodeState(lazyParts);
+    const header: SnapshotHeader = { ...metadata, stateBytes, stateChecksum };
     await replaceFile(this.#findPath(snapshot.group), [
       encodeRecord(header),
       ...parts,
@@ -161,26 +162,29 @@
   }
 }
 
-/** What a state comes to once all its parts are made. */
-interface SummedState {
+/** Encoded parts of a state with their total size and checksum. */
+interface EncodedState {
   readonly parts: readonly Uint8Array[];
   readonly stateBytes: number;
   readonly stateChecksum: number;
 }
 
-async function sumUp(made: Iterable<Uint8Array>): Promise<SummedState> {
+/** Encodes a state part by part, and yields to the event loop in between. */
+async function encodeState(
+  lazyParts: Iterable<Uint8Array>,
+): Promise<EncodedState> {
   const parts: Uint8Array[] = [];
   let stateBytes = 0;
   let stateChecksum = 0;
-  let unheard = 0;
-  for (const part of made) {
+  let bytesSinceYield = 0;
+  for (const part of lazyParts) {
     parts.push(part);
     stateBytes += part.length;
     stateChecksum = crc32(part, stateChecksum);
-    unheard += part.length;
-    if (unheard < SUMMED_BYTES) continue;
-    await nextTurn();
-    unheard = 0;
+    bytesSinceYield += part.length;
+    if (bytesSinceYield < YIELD_INTERVAL_BYTES) continue;
+    await yieldToEventLoop();
+    bytesSinceYield = 0;
   }
   return { parts, stateBytes, stateChecksum };
 }
--- a/packages/consensus/src/storage/snapshot_store_test.ts
+++ b/packages/consensus/src/storage/snapshot_store_test.ts
@@ -3,11 +3,11 @@
 import { join } from "node:path";
 import { test } from "tap";
 import { encodeRecord } from "./record.ts";
-import { type SnapshotContent, SnapshotStore } from "./snapshot_store.ts";
+import { type NewSnapshot, SnapshotStore } from "./snapshot_store.ts";
 
 const SIZE = 1_000_000;
 
-function createContent(lastIndex: number, fill: number): SnapshotContent {
+function createSnapshot(lastIndex: number, fill: number): NewSnapshot {
   return {
     group: 1,
     lastIndex,
@@ -17,20 +17,20 @@
   };
 }
 
-test("a snapshot is loaded as it was saved", async (t) => {
+test("a loaded snapshot equals the saved one", async (t) => {
   const store = new SnapshotStore(t.testdir());
   t.equal(store.load(1), undefined);
-  await store.save(createContent(5, 7));
-  const { parts, ...point } = createContent(5, 7);
-  t.same(store.load(1), { ...point, state: Buffer.concat([...parts]) });
+  await store.save(createSnapshot(5, 7));
+  const { parts, ...metadata } = createSnapshot(5, 7);
+  t.same(store.load(1), { ...metadata, state: Buffer.concat([...parts]) });
 });
 
-test("an open snapshot is read to its end although a newer one is saved", async (t) => {
+test("an open snapshot stays readable to its end after a newer one is saved", async (t) => {
   const store = new SnapshotStore(t.testdir());
   t.equal(await store.open(1), undefined);
-  await store.save(createContent(5, 7));
+  await store.save(createSnapshot(5, 7));
   const opened = await store.open(1);
-  await store.save(createContent(6, 8));
+  await store.save(createSnapshot(6, 8));
   t.equal(opened?.point.lastIndex, 5);
   t.equal(opened?.size, SIZE + 3);
   const first = await opened?.read(0, 10);
@@ -41,18 +41,18 @@
   t.equal(store.load(1)?.lastIndex, 6);
 });
 
-test("damage in the state is an error, and so is a file cut short", async (t) => {
+test("a corrupted state and a truncated file are errors", async (t) => {
   const folder = t.testdir();
   const store = new SnapshotStore(folder);
-  await store.save(createContent(5, 7));
+  await store.save(createSnapshot(5, 7));
   const path = join(folder, "group-1");
   const bytes = readFileSync(path);
   const opened = await store.open(1);
   writeFileSync(path, bytes.subarray(0, bytes.length - 1));
   t.throws(() => store.load(1), { message: "Snapshot of group 1 is damaged" });
-  if (opened === undefined) throw new Error("There is no snapshot");
+  if (opened === undefined) throw new Error("Saved snapshot was not found");
   await t.rejects(opened.read(SIZE, 10), {
-    message: "The snapshot is cut short",
+    message: "Snapshot file is truncated",
   });
   await opened.close();
   bytes[bytes.length - 10] = 0;
@@ -60,7 +60,7 @@
   t.throws(() => store.load(1), { message: "Snapshot of group 1 is damaged" });
 });
 
-test("a snapshot of format 2 is brought into the newest one", async (t) => {
+test("a snapshot of format 2 is converted to the current format", async (t) => {
   const folder = t.testdir();
   const store = new SnapshotStore(folder);
   await store.convert(1);
--- a/packages/consensus/src/storage/wait_until_writable.ts
+++ b/packages/consensus/src/storage/wait_until_writable.ts
@@ -1,43 +1,44 @@
-/** Waits until a disk takes bytes, before a replica counts on it. */
+/** Waits until the disk accepts writes before a replica starts to use it. */
 
 import { Buffer } from "node:buffer";
 import { open, unlink } from "node:fs/promises";
 import { join } from "node:path";
 import { sleep } from "@mallowlift/core";
 
-/** Bytes of a try: some blocks, so that a full disk shows. */
-const TRY_BYTES = 65_536;
-/** Pause between two tries, ms: short against the time that a disk stays full. */
-const PAUSE_MILLISECONDS = 250;
+/** Size of a probe write, bytes: several blocks, so that it fails on a full disk. */
+const PROBE_BYTES = 65_536;
+/** Interval between two probe writes, ms; short compared with how long a disk stays full. */
+const RETRY_INTERVAL_MILLISECONDS = 250;
 
-/** How to try, and what to tell. */
+/** Options of {@linkcode waitUntilWritable}. */
 export interface WritableOptions {
-  /** Writes and syncs some bytes; throws if the disk does not take them. */
+  /** Writes and syncs some bytes; throws if the disk does not accept them. */
   readonly tryWrite?: (folder: string) => Promise<void>;
-  /** Called once, with the reason, if the disk takes nothing at first. */
-  readonly onRefused: (reason: string) => void;
+  /** Called once, with the reason, when the first write fails. */
+  readonly onWriteFailure: (reason: string) => void;
   readonly signal: AbortSignal;
 }
 
 /**
- * Resolves once the folder takes a synced write. A replica that starts on a
- * full disk would otherwise end by its first write, again and again.
+ * Resolves once a synced write to the folder succeeds, or when the signal is
+ * aborted. Without this wait, a replica that starts on a full disk would fail at
+ * its first write after every restart.
  */
 export async function waitUntilWritable(
   folder: string,
   options: WritableOptions,
 ): Promise<void> {
-  const { tryWrite = writeAndSync, onRefused, signal } = options;
-  let isTold = false;
+  const { tryWrite = writeAndSync, onWriteFailure, signal } = options;
+  let isReported = false;
   while (!signal.aborted) {
     try {
       return await tryWrite(folder);
     } catch (thrown) {
       const reason = thrown instanceof Error ? thrown.message : String(thrown);
-      if (!isTold) onRefused(reason);
-      isTold = true;
+      if (!isReported) onWriteFailure(reason);
+      isReported = true;
     }
-    await sleep(PAUSE_MILLISECONDS, signal);
+    await sleep(RETRY_INTERVAL_MILLISECONDS, signal);
   }
 }
 
@@ -45,7 +46,7 @@
   const path = join(folder, "try-write");
   const handle = await open(path, "w");
   try {
-    await handle.writeFile(Buffer.alloc(TRY_BYTES));
+    await handle.writeFile(Buffer.alloc(PROBE_BYTES));
     await handle.sync();
   } finally {
     await handle.close();
--- a/packages/consensus/src/storage/wait_until_writable_test.ts
+++ b/packages/consensus/src/storage/wait_until_writable_test.ts
@@ -2,11 +2,11 @@
 import { test } from "tap";
 import { waitUntilWritable } from "./wait_until_writable.ts";
 
-test("a replica waits for a full disk, and says so once", async (t) => {
+test("the wait retries on a full disk and reports the failure once", async (t) => {
   const reasons: string[] = [];
   let tries = 0;
   await waitUntilWritable(t.testdir(), {
-    onRefused: (reason) => reasons.push(reason),
+    onWriteFailure: (reason) => reasons.push(reason),
     signal: new AbortController().signal,
     tryWrite: () => {
       if (++tries < 3) return Promise.reject(new Error("ENOSPC"));
@@ -17,10 +17,10 @@
   t.same(reasons, ["ENOSPC"]);
 });
 
-test("a disk that takes bytes is left as it was", async (t) => {
+test("the probe leaves no file behind on a writable disk", async (t) => {
   const folder = t.testdir();
   await waitUntilWritable(folder, {
-    onRefused: (reason) => t.fail(reason),
+    onWriteFailure: (reason) => t.fail(reason),
     signal: new AbortController().signal,
   });
   t.same(readdirSync(folder), []);
--- a/packages/consensus/src/storage/write_ahead_log.ts
+++ b/packages/consensus/src/storage/write_ahead_log.ts
@@ -1,6 +1,6 @@
 /**
- * The log on disk, shared by all groups of a replica, so that one sync
- * serves whatever every group has written meanwhile.
+ * Write-ahead log on disk. All groups of a replica share it, so that one sync
+ * covers the records that all groups have written in the meantime.
  */
 
 import { Buffer } from "node:buffer";
@@ -19,11 +19,12 @@
 import { encodeRecord, scanRecords } from "./record.ts";
 
 const SEGMENT_BYTES = 16 * 1_024 * 1_024;
-/** A batch counts only after an explicit sync: not every disk honours O_DSYNC. */
-const APPEND = constants.O_WRONLY | constants.O_APPEND | constants.O_CREAT;
+/** O_DSYNC is not used, since not every disk honours it: each batch is synced explicitly. */
+const APPEND_FLAGS = constants.O_WRONLY | constants.O_APPEND |
+  constants.O_CREAT;
 const SEGMENT_PATTERN = /^log-(\d{10})$/;
 
-/** An appended entry; one with an index seen before replaces that and all later ones. */
+/** An appended entry. It replaces any earlier entries of its index and above. */
 export interface EntryRecord {
   readonly kind: "entry";
   readonly group: number;
@@ -38,7 +39,7 @@
   readonly votedFor: string;
 }
 
-/** All earlier entries of the group are void: a snapshot was installed. */
+/** Invalidates all earlier entries of the group, since a snapshot was installed. */
 export interface ResetRecord {
   readonly kind: "reset";
   readonly group: number;
@@ -49,8 +50,9 @@
 export type LogRecord = EntryRecord | VoteRecord | ResetRecord;
 
 /**
- * Records that are synced together. One checksum covers them all: power may
- * take the start of a write and leave its end, which must count as torn.
+ * Records that are synced together under one checksum. A power loss may destroy
+ * the start of a write and leave its end intact, and the whole batch must then
+ * be treated as torn.
  */
 interface BatchRecord {
   readonly kind: "batch";
@@ -66,7 +68,7 @@
 
 const NEVER = new Promise<void>(() => undefined);
 
-/** Appends records and syncs them in batches. */
+/** Appends records to segment files and syncs them in batches. */
 export class WriteAheadLog {
   readonly #folder: string;
   readonly #segments: Segment[] = [];
@@ -74,9 +76,9 @@
   readonly #failed: Deferred<Error> = createDeferred<Error>();
   #handle: FileHandle | undefined;
   #size = 0;
-  #waiting: LogRecord[] = [];
+  #pending: LogRecord[] = [];
   #synced: Deferred<void> = createDeferred<void>();
-  /** Resolves when all that was taken for writing is synced. */
+  /** Resolves when the batch that was started last is synced. */
   #inFlight: Promise<void> = Promise.resolve();
   #writing = false;
   #closed = false;
@@ -86,14 +88,14 @@
     this.#folder = folder;
   }
 
-  /** Resolves with the error that made the disk unusable. */
+  /** Resolves with the error of the write or sync after which the log can't be used. */
   get failed(): Promise<Error> {
     return this.#failed.promise;
   }
 
   /**
-   * Reads every record and opens the log for appending. A torn tail is cut
-   * back to the last whole record; damage before that throws.
+   * Reads every record and opens the log for appending. A torn tail is
+   * truncated to the last complete record; corruption before that throws.
    */
   async open(): Promise<readonly LogRecord[]> {
     mkdirSync(this.#folder, { recursive: true });
@@ -110,31 +112,33 @@
     return records;
   }
 
-  /** Appends records; resolves when they are synced. */
+  /** Appends records; resolves when they are synced, and never if the log is closed. */
   append(records: readonly LogRecord[]): Promise<void> {
-    // A message that comes during a planned stop must neither count nor fail
-    // the daemon.
+    // A message that arrives during a planned stop must neither be acknowledged
+    // nor fail the daemon.
     if (this.#closed) return NEVER;
-    if (records.length === 0 && this.#waiting.length === 0) {
+    if (records.length === 0 && this.#pending.length === 0) {
       return this.#inFlight;
     }
-    this.#waiting.push(...records);
+    this.#pending.push(...records);
     const synced = this.#synced.promise;
-    if (!this.#writing) void this.#writeAll();
+    if (!this.#writing) void this.#writePending();
     return synced;
   }
 
-  /** Removes segments that snapshots have made superfluous. */
+  /** Removes the oldest segments, as far as snapshots cover their entries. */
   async prune(snapshotIndexes: ReadonlyMap<number, number>): Promise<void> {
     while (this.#segments.length > 1) {
       const oldest = this.#segments[0];
-      if (oldest === undefined || !isCovered(oldest, snapshotIndexes)) return;
+      if (
+        oldest === undefined || !isCoveredBySnapshots(oldest, snapshotIndexes)
+      ) return;
       this.#segments.shift();
       await unlink(oldest.path);
     }
   }
 
-  /** Writes what waits and closes the file. */
+  /** Writes the pending records and closes the file. */
   async close(): Promise<void> {
     this.#closed = true;
     while (this.#writing && !this.#broken) {
@@ -149,40 +153,43 @@
     const number = Number(SEGMENT_PATTERN.exec(name)?.[1]);
     const file = readFileSync(path);
     const scanned = scanRecords(file);
-    const torn = scanned.end < file.length;
-    if (scanned.damagedInside || (torn && !isLast)) {
+    const isTorn = scanned.end < file.length;
+    if (scanned.isCorrupted || (isTorn && !isLast)) {
       throw new Error(`Log segment ${name} is damaged at byte ${scanned.end}`);
     }
-    if (torn) truncateSync(path, scanned.end);
+    if (isTorn) truncateSync(path, scanned.end);
     const segment: Segment = { path, number, lastIndexes: new Map() };
     this.#segments.push(segment);
-    const records = listRecords(
+    const records = unpackBatches(
       scanned.values as readonly (LogRecord | BatchRecord)[],
     );
-    for (const record of records) this.#note(segment, record);
+    for (const record of records) this.#trackRecord(segment, record);
     return records;
   }
 
-  #note(segment: Segment, record: LogRecord): void {
+  #trackRecord(segment: Segment, record: LogRecord): void {
     if (record.kind === "vote") this.#votes.set(record.group, record);
     if (record.kind !== "entry") return;
-    const known = segment.lastIndexes.get(record.group) ?? 0;
-    segment.lastIndexes.set(record.group, Math.max(known, record.entry.index));
+    const highestIndex = segment.lastIndexes.get(record.group) ?? 0;
+    segment.lastIndexes.set(
+      record.group,
+      Math.max(highestIndex, record.entry.index),
+    );
   }
 
   async #startSegment(number: number): Promise<void> {
     await this.#handle?.close();
     const name = `log-${String(number).padStart(10, "0")}`;
     const path = join(this.#folder, name);
-    this.#handle = await open(path, APPEND);
+    this.#handle = await open(path, APPEND_FLAGS);
     await syncFolder(this.#folder);
     this.#segments.push({ path, number, lastIndexes: new Map() });
     this.#size = 0;
-    // Older segments may be pruned, so each one repeats the votes in force.
+    // Older segments may be pruned, so each new segment repeats the latest votes.
     const votes = [...this.#votes.values()];
     if (votes.length === 0) return;
     const bytes = encodeBatch(votes);
-    await writeWhole(this.#handle, bytes);
+    await writeFully(this.#handle, bytes);
     await this.#handle.datasync();
     this.#size = bytes.length;
   }
@@ -190,17 +197,18 @@
   async #reopenLast(): Promise<void> {
     const last = this.#segments.at(-1);
     if (last === undefined) return;
-    this.#handle = await open(last.path, APPEND);
+    this.#handle = await open(last.path, APPEND_FLAGS);
     this.#size = (await this.#handle.stat()).size;
     await this.#handle.datasync();
   }
 
-  async #writeAll(): Promise<void> {
+  async #writePending(): Promise<void> {
     this.#writing = true;
     try {
-      while (this.#waiting.length > 0) await this.#writeBatch();
+      while (this.#pending.length > 0) await this.#writeBatch();
     } catch (thrown) {
-      // After a failed sync nobody knows what is on disk, so nothing may count.
+      // After a failed sync the content of the disk is unknown, so no later record
+      // may be acknowledged.
       this.#broken = true;
       this.#failed.resolve(
         thrown instanceof Error ? thrown : new Error(String(thrown)),
@@ -215,19 +223,19 @@
     if (this.#size > SEGMENT_BYTES) {
       await this.#startSegment((this.#segments.at(-1)?.number ?? 0) + 1);
     }
-    const batch = this.#waiting;
+    const batch = this.#pending;
     const synced = this.#synced;
-    this.#waiting = [];
+    this.#pending = [];
     this.#inFlight = synced.promise;
     this.#synced = createDeferred<void>();
     const segment = this.#segments.at(-1);
     const handle = this.#handle;
     if (segment === undefined || handle === undefined) {
-      throw new Error("The log is not open");
+      throw new Error("Log is not open");
     }
     const bytes = encodeBatch(batch);
-    for (const record of batch) this.#note(segment, record);
-    await writeWhole(handle, bytes);
+    for (const record of batch) this.#trackRecord(segment, record);
+    await writeFully(handle, bytes);
     await handle.datasync();
     this.#size += bytes.length;
     synced.resolve(undefined);
@@ -241,7 +249,7 @@
   return encodeRecord(batch);
 }
 
-function listRecords(
+function unpackBatches(
   values: readonly (LogRecord | BatchRecord)[],
 ): readonly LogRecord[] {
   const records: LogRecord[] = [];
@@ -252,8 +260,8 @@
   return records;
 }
 
-/** A write may take only a part of the bytes. */
-async function writeWhole(handle: FileHandle, bytes: Buffer): Promise<void> {
+/** Writes all bytes, since a single call may write only some of them. */
+async function writeFully(handle: FileHandle, bytes: Buffer): Promise<void> {
   let written = 0;
   while (written < bytes.length) {
     written += (await handle.write(bytes, written)).bytesWritten;
@@ -266,7 +274,7 @@
   return readdirSync(folder).some((name) => SEGMENT_PATTERN.test(name));
 }
 
-function isCovered(
+function isCoveredBySnapshots(
   segment: Segment,
   snapshotIndexes: ReadonlyMap<number, number>,
 ): boolean {
