--- a/packages/consensus/src/storage/snapshot_store.ts
+++ b/packages/consensus/src/storage/snapshot_store.ts
@@ -58,8 +58,8 @@
     header: SnapshotHeader,
     file: { readonly handle: FileHandle; readonly stateOffset: number },
   ) {
-    const { stateBytes, stateChecksum: _checksum, ...point } = header;
-    this.point = point;
+    const { stateBytes, stateChecksum: _checksum, ...metadata } = header;
+    this.point = metadata;
     this.size = stateBytes;
     this.#handle = file.handle;
     this.#stateOffset = file.stateOffset;
--- a/packages/membership/src/directory.ts
+++ b/packages/membership/src/directory.ts
@@ -1,4 +1,7 @@
-/** What a daemon has heard of the others. It finds peers; it decides nothing. */
+/**
+ * Directory of the other daemons that this daemon knows, with the age of each
+ * record. It only finds peers and makes no decisions.
+ */
 
 import type {
   DaemonRecord,
@@ -6,129 +9,136 @@
   DirectoryDifference,
 } from "@mallowlift/core";
 import {
-  findKey,
+  computeRecordKey,
   packSummary,
   readSummary,
   type SummaryEntry,
 } from "./directory_summary.ts";
 
 /**
- * Age at which a record is dropped, ms. Far above the time between exchanges,
- * so that a daemon that is cut off for some seconds is still known after it.
+ * Age above which a record is dropped, ms. It is far longer than the interval
+ * between exchanges, so that a daemon that is unreachable for some seconds stays
+ * known.
  */
-const FORGET_MILLISECONDS = 15_000;
+const MAX_RECORD_AGE_MILLISECONDS = 15_000;
 
 /**
- * How much younger a word must be to be passed on, ms: far below the ages that
- * anything is decided by, and above what a few daemons add by rounding.
+ * Smallest difference for which a more recent age is sent to a peer, ms. It is
+ * far below the ages on which decisions depend, and above the rounding errors
+ * that a few daemons add up to.
  */
-const FRESHER_MILLISECONDS = 100;
+const MIN_AGE_DIFFERENCE_MILLISECONDS = 100;
 
-/** A daemon as it tells of itself. */
-export type SelfRecord = Omit<DaemonRecord, "ageMilliseconds">;
+/** A daemon as it describes itself. */
+export type DaemonInfo = Omit<DaemonRecord, "ageMilliseconds">;
 
 interface KnownDaemon {
-  readonly record: SelfRecord;
+  readonly record: DaemonInfo;
   readonly key: number;
-  /** When the daemon itself was last heard, by the local clock. */
-  readonly heardAt: number;
+  /** Time of the last sign of life of the daemon itself, by the local clock. */
+  readonly lastSeenAt: number;
 }
 
-/** The daemons that are known. */
+/** Records of this daemon and of the other known daemons. */
 export class Directory {
-  readonly #self: SelfRecord;
+  readonly #self: DaemonInfo;
   readonly #selfKey: number;
-  readonly #known = new Map<string, KnownDaemon>();
-  /** The same daemons by the key of their record. */
-  readonly #byKey = new Map<number, KnownDaemon>();
+  readonly #daemons = new Map<string, KnownDaemon>();
+  /** The same daemons by the keys of their records. */
+  readonly #daemonsByKey = new Map<number, KnownDaemon>();
   #changedAt = 0;
 
-  constructor(self: SelfRecord) {
+  constructor(self: DaemonInfo) {
     this.#self = self;
-    this.#selfKey = findKey(self);
+    this.#selfKey = computeRecordKey(self);
   }
 
-  /** This daemon. */
-  get self(): SelfRecord {
+  /** Description of this daemon. */
+  get self(): DaemonInfo {
     return this.#self;
   }
 
-  /** When a daemon was last added or replaced. */
+  /** Local time at which a daemon was last added, restarted or removed. */
   get changedAt(): number {
     return this.#changedAt;
   }
 
-  /** Takes over what is newer than what is known. */
+  /** Takes over records that are more recent than the known ones. */
   merge(records: readonly DaemonRecord[], now: number): void {
     for (const { ageMilliseconds, ...record } of records) {
       if (record.name === this.#self.name) continue;
-      const heardAt = now - ageMilliseconds;
-      if (ageMilliseconds > FORGET_MILLISECONDS) continue;
-      const known = this.#known.get(record.name);
-      if (known !== undefined && known.heardAt >= heardAt) continue;
-      this.#set(record, heardAt);
+      const lastSeenAt = now - ageMilliseconds;
+      if (ageMilliseconds > MAX_RECORD_AGE_MILLISECONDS) continue;
+      const known = this.#daemons.get(record.name);
+      if (known !== undefined && known.lastSeenAt >= lastSeenAt) continue;
+      this.#set(record, lastSeenAt);
       if (known?.record.bootId !== record.bootId) this.#changedAt = now;
     }
   }
 
-  /** Drops daemons that nobody has heard for long. */
-  forget(now: number): void {
-    for (const [name, known] of this.#known) {
-      if (now - known.heardAt <= FORGET_MILLISECONDS) continue;
-      this.#known.delete(name);
-      this.#byKey.delete(known.key);
+  /** Drops daemons whose records have expired. */
+  removeExpired(now: number): void {
+    for (const [name, known] of this.#daemons) {
+      if (now - known.lastSeenAt <= MAX_RECORD_AGE_MILLISECONDS) continue;
+      this.#daemons.delete(name);
+      this.#daemonsByKey.delete(known.key);
       this.#changedAt = now;
     }
   }
 
-  /** All known daemons with their ages, this one first. */
+  /** Returns the records of all known daemons with their ages, this daemon first. */
   describe(now: number): readonly DaemonRecord[] {
     const records: DaemonRecord[] = [{ ...this.#self, ageMilliseconds: 0 }];
-    for (const { record, heardAt } of this.#known.values()) {
-      records.push({ ...record, ageMilliseconds: Math.max(0, now - heardAt) });
+    for (const { record, lastSeenAt } of this.#daemons.values()) {
+      records.push({
+        ...record,
+        ageMilliseconds: Math.max(0, now - lastSeenAt),
+      });
     }
     return records;
   }
 
-  /** Which records are known, this daemon's own first, and how old each word is. */
+  /** Returns the keys and ages of all known records, this daemon's own first. */
   summarize(now: number): DirectoryComparison {
     const entries: SummaryEntry[] = [
       { key: this.#selfKey, ageMilliseconds: 0 },
     ];
-    for (const { key, heardAt } of this.#known.values()) {
-      entries.push({ key, ageMilliseconds: Math.max(0, now - heardAt) });
+    for (const { key, lastSeenAt } of this.#daemons.values()) {
+      entries.push({ key, ageMilliseconds: Math.max(0, now - lastSeenAt) });
     }
     return { known: packSummary(entries) };
   }
 
   /**
-   * Takes over what another daemon has heard later, and tells what it lacks.
+   * Compares this directory with the summary of another daemon. Takes over more
+   * recent ages, and returns the records and ages that the other daemon lacks,
+   * and the keys of the records that are unknown here.
    *
    * @example
    * ```ts
    * const difference = here.compare(there.summarize(now), now);
    * there.merge(difference.records, now);
-   * there.refresh(difference.fresher, now);
+   * there.refreshAges(difference.fresher, now);
    * ```
    */
   compare(request: DirectoryComparison, now: number): DirectoryDifference {
-    const told = new Set<number>();
+    const peerKeys = new Set<number>();
     const wanted: SummaryEntry[] = [];
     const fresher: SummaryEntry[] = [];
     for (const entry of readSummary(request.known)) {
-      told.add(entry.key);
+      peerKeys.add(entry.key);
       if (entry.key === this.#selfKey) continue;
-      const known = this.#byKey.get(entry.key);
-      const age = known === undefined ? Infinity : now - known.heardAt;
+      const known = this.#daemonsByKey.get(entry.key);
+      const age = known === undefined ? Infinity : now - known.lastSeenAt;
       if (known === undefined) wanted.push(entry);
-      else if (entry.ageMilliseconds - age >= FRESHER_MILLISECONDS) {
+      else if (entry.ageMilliseconds - age >= MIN_AGE_DIFFERENCE_MILLISECONDS) {
         fresher.push({ key: known.key, ageMilliseconds: Math.max(0, age) });
       }
     }
     const records = this.describe(now).filter((record) =>
-      !told.has(this.#findKeyOf(record.name))
+      !peerKeys.has(this.#getKey(record.name))
     );
-    this.refresh(request.known, now);
+    this.refreshAges(request.known, now);
     return {
       records,
       fresher: packSummary(fresher),
@@ -136,59 +146,61 @@
     };
   }
 
-  /** Takes over how lately daemons were heard whose records are known. */
-  refresh(summary: Uint8Array, now: number): void {
+  /** Takes over more recent ages from a summary, for records that are known here. */
+  refreshAges(summary: Uint8Array, now: number): void {
     for (const { key, ageMilliseconds } of readSummary(summary)) {
-      const known = this.#byKey.get(key);
-      if (known === undefined || ageMilliseconds > FORGET_MILLISECONDS) {
+      const known = this.#daemonsByKey.get(key);
+      if (
+        known === undefined || ageMilliseconds > MAX_RECORD_AGE_MILLISECONDS
+      ) {
         continue;
       }
-      const heardAt = now - ageMilliseconds;
-      if (heardAt > known.heardAt) this.#set(known.record, heardAt);
+      const lastSeenAt = now - ageMilliseconds;
+      if (lastSeenAt > known.lastSeenAt) this.#set(known.record, lastSeenAt);
     }
   }
 
-  /** Those of a summary whose records are known, with their ages. */
-  describeWanted(summary: Uint8Array, now: number): readonly DaemonRecord[] {
+  /** Returns the known records whose keys are in a summary, with their ages. */
+  describeRequested(summary: Uint8Array, now: number): readonly DaemonRecord[] {
     const keys = new Set(readSummary(summary).map((entry) => entry.key));
     return this.describe(now).filter((record) =>
-      keys.has(this.#findKeyOf(record.name))
+      keys.has(this.#getKey(record.name))
     );
   }
 
-  /** Daemons with a role that were heard within a time, by name. */
-  findByRole(role: string, since = -Infinity): readonly SelfRecord[] {
-    const found: SelfRecord[] = [];
+  /** Returns the daemons with a role that were seen at or after a time, sorted by name. */
+  findByRole(role: string, since = -Infinity): readonly DaemonInfo[] {
+    const found: DaemonInfo[] = [];
     if (this.#self.roles.includes(role)) found.push(this.#self);
-    for (const { record, heardAt } of this.#known.values()) {
-      if (heardAt < since || !record.roles.includes(role)) continue;
+    for (const { record, lastSeenAt } of this.#daemons.values()) {
+      if (lastSeenAt < since || !record.roles.includes(role)) continue;
       found.push(record);
     }
     return found.sort((left, right) => left.name < right.name ? -1 : 1);
   }
 
-  /** A known daemon by its name. */
-  find(name: string): SelfRecord | undefined {
+  /** Returns a known daemon by its name. */
+  find(name: string): DaemonInfo | undefined {
     if (name === this.#self.name) return this.#self;
-    return this.#known.get(name)?.record;
+    return this.#daemons.get(name)?.record;
   }
 
-  /** Addresses of all other daemons. */
+  /** Returns the addresses of all other known daemons. */
   listPeers(): readonly string[] {
-    return [...this.#known.values()].map(({ record }) => record.address);
+    return [...this.#daemons.values()].map(({ record }) => record.address);
   }
 
-  #findKeyOf(name: string): number {
-    return this.#known.get(name)?.key ?? this.#selfKey;
+  #getKey(name: string): number {
+    return this.#daemons.get(name)?.key ?? this.#selfKey;
   }
 
-  #set(record: SelfRecord, heardAt: number): void {
-    const before = this.#known.get(record.name);
+  #set(record: DaemonInfo, lastSeenAt: number): void {
+    const before = this.#daemons.get(record.name);
     const isSame = before !== undefined && before.record === record;
-    if (before !== undefined) this.#byKey.delete(before.key);
-    const key = isSame ? before.key : findKey(record);
-    const known = { record, key, heardAt };
-    this.#known.set(record.name, known);
-    this.#byKey.set(key, known);
+    if (before !== undefined) this.#daemonsByKey.delete(before.key);
+    const key = isSame ? before.key : computeRecordKey(record);
+    const known = { record, key, lastSeenAt };
+    this.#daemons.set(record.name, known);
+    this.#daemonsByKey.set(key, known);
   }
 }
--- a/packages/membership/src/directory_difference_test.ts
+++ b/packages/membership/src/directory_difference_test.ts
@@ -1,20 +1,20 @@
 /**
- * The load: hundreds of daemons, each of which tells a seed and a peer every two
- * seconds what it has heard of all others.
+ * Tests directory comparisons among hundreds of daemons, each of which compares
+ * its directory with those of a seed and a peer every two seconds.
  */
 
 import fc from "fast-check";
 import { test } from "tap";
 import { encodeFrame } from "@mallowlift/transport";
-import { Directory, type SelfRecord } from "./directory.ts";
+import { type DaemonInfo, Directory } from "./directory.ts";
 
 const SEED = 5;
 const SIZES = [30, 100, 300, 390];
 const INTERVAL_MILLISECONDS = 2_000;
-/** What control may cost a daemon, bytes a second sent. */
-const MOST_BYTES_A_SECOND = 9_000;
+/** Limit on directory traffic per daemon, bytes sent per second. */
+const MAX_BYTES_PER_SECOND = 9_000;
 
-function createRecord(number: number, bootId = "boot"): SelfRecord {
+function createRecord(number: number, bootId = "boot"): DaemonInfo {
   return {
     name: `gateway-hall-${number}`,
     bootId: `${bootId}-0123-4567-89ab-cdef-${number}`,
@@ -31,34 +31,37 @@
   );
 }
 
-/** One comparison as two daemons make it; returns the bytes sent each way. */
-function compare(asker: Directory, asked: Directory, now: number) {
-  const request = asker.summarize(now);
-  const answer = asked.compare(request, now);
-  asker.merge(answer.records, now);
-  asker.refresh(answer.fresher, now);
-  const records = asker.describeWanted(answer.wanted, now);
-  asked.merge(records, now);
-  const told = records.length > 0 ? count({ records }) : 0;
-  return { asked: count(request) + told, answered: count(answer) };
+/** Runs one comparison between two daemons; returns the bytes sent each way. */
+function compare(sender: Directory, receiver: Directory, now: number) {
+  const request = sender.summarize(now);
+  const answer = receiver.compare(request, now);
+  sender.merge(answer.records, now);
+  sender.refreshAges(answer.fresher, now);
+  const records = sender.describeRequested(answer.wanted, now);
+  receiver.merge(records, now);
+  const recordBytes = records.length > 0 ? countFrameBytes({ records }) : 0;
+  return {
+    asked: countFrameBytes(request) + recordBytes,
+    answered: countFrameBytes(answer),
+  };
 }
 
-function count(body: unknown): number {
+function countFrameBytes(body: unknown): number {
   return encodeFrame({ type: "call", id: 1, name: "directory", body }).length;
 }
 
-/** All daemons compare with the first and with one that is drawn. */
+/** Lets each daemon compare with the first one and a drawn one; returns the bytes sent. */
 function runRound(
   site: readonly Directory[],
   draw: (number: number) => number,
   now: number,
 ): number {
   let bytes = 0;
-  for (const [number, asker] of site.entries()) {
+  for (const [number, sender] of site.entries()) {
     for (const other of [0, draw(number) % site.length]) {
-      const asked = site[other];
-      if (asked === undefined || asked === asker) continue;
-      const sent = compare(asker, asked, now);
+      const receiver = site[other];
+      if (receiver === undefined || receiver === sender) continue;
+      const sent = compare(sender, receiver, now);
       bytes += sent.asked + sent.answered;
     }
   }
@@ -69,7 +72,7 @@
   return directory.findByRole("gateway").length;
 }
 
-test("bytes a daemon stay below what control may cost, also at 390", (t) => {
+test("directory traffic per daemon stays below the limit, even with 390 daemons", (t) => {
   for (const size of SIZES) {
     const site = createSite(size);
     const draw = (number: number) => number * 7 + 3;
@@ -79,12 +82,12 @@
     const bytes = runRound(site, draw, 4 * INTERVAL_MILLISECONDS);
     const each = bytes * 1_000 / INTERVAL_MILLISECONDS / size;
     t.comment(`${size} daemons: ${Math.round(each)} bytes a second each`);
-    t.ok(each < MOST_BYTES_A_SECOND, `${size} daemons`);
+    t.ok(each < MAX_BYTES_PER_SECOND, `${size} daemons`);
   }
   t.end();
 });
 
-test("daemons that stay in touch know each other after a few rounds", (t) => {
+test("all daemons know each other after a few rounds", (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: 2, max: 40 }),
@@ -102,7 +105,7 @@
   t.end();
 });
 
-test("a daemon that starts again takes the place of its earlier life", (t) => {
+test("a restarted daemon replaces the record of its earlier process", (t) => {
   const site = [...createSite(20)];
   const draw = (number: number) => number + 1;
   for (let now = 0; now <= 4_000; now += 2_000) runRound(site, draw, now);
@@ -114,7 +117,7 @@
   t.end();
 });
 
-test("a daemon that is gone is forgotten by all, and stays so", (t) => {
+test("a daemon that has left is dropped by all others and does not reappear", (t) => {
   fc.assert(
     fc.property(fc.array(fc.nat(1_000), { minLength: 60, maxLength: 60 }), (
       drawn,
@@ -128,7 +131,7 @@
       for (let now = 4_500; now <= 20_500; now += 500) {
         const draw = (number: number) => drawn[(number + round) % 60] ?? 0;
         runRound(left, draw, now);
-        for (const directory of left) directory.forget(now);
+        for (const directory of left) directory.removeExpired(now);
         round++;
       }
       return left.every((directory) => countKnown(directory) === 11);
--- a/packages/membership/src/directory_task.ts
+++ b/packages/membership/src/directory_task.ts
@@ -1,4 +1,4 @@
-/** Keeps the directory of daemons up to date by asking seeds and peers. */
+/** Keeps the directory of daemons up to date by exchanging records with seeds and peers. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -15,30 +15,30 @@
 import type { Directory } from "./directory.ts";
 import type { FounderGrants } from "./founder_grants.ts";
 
-/** Longest wait for the answer of one peer, ms: far above a round trip. */
-const ANSWER_MILLISECONDS = 1_000;
-/** Time from the start in which peers are asked more often, ms. */
-const HURRY_MILLISECONDS = 3_000;
-/** Time between two exchanges at first, ms: a site starts within a second. */
-const HURRY_INTERVAL_MILLISECONDS = 150;
-/** Time between two exchanges while no store is known, ms: some round trips. */
+/** Timeout of one request to a peer, ms; far longer than a round trip. */
+const REQUEST_TIMEOUT_MILLISECONDS = 1_000;
+/** Time after the start during which exchanges are more frequent, ms. */
+const STARTUP_MILLISECONDS = 3_000;
+/** Interval between exchanges after the start, ms, so that a site starts within a second. */
+const STARTUP_INTERVAL_MILLISECONDS = 150;
+/** Interval between those exchanges while no store is known, ms; several round trips. */
 const SEARCH_INTERVAL_MILLISECONDS = 40;
-/** Claims wait no longer than this for a seed, ms. */
-const CLAIM_MILLISECONDS = 1_000;
+/** Timeout of one claim at a seed, ms. */
+const CLAIM_TIMEOUT_MILLISECONDS = 1_000;
 
-/** What the task works with. */
+/** Options of {@linkcode DirectoryTask}. */
 export interface DirectoryTaskOptions {
   readonly directory: Directory;
   readonly grants: FounderGrants;
   readonly links: PeerLinks;
-  /** Addresses of the seeds as the settings give them now. */
+  /** Returns the addresses of the seeds in the current settings. */
   readonly listSeeds: () => readonly string[];
   readonly intervalMilliseconds: number;
-  /** Returns a number from 0 to 1, to choose peers by. */
+  /** Returns a random number in [0, 1), used to choose peers. */
   readonly random: () => number;
 }
 
-/** Exchanges the directory with one seed and one other peer at a time. */
+/** Periodically exchanges the directory with one seed and one other peer. */
 export class DirectoryTask implements Child {
   readonly name = "directory";
   readonly #options: DirectoryTaskOptions;
@@ -48,7 +48,7 @@
     this.#options = options;
   }
 
-  /** Handlers for other daemons. */
+  /** Returns the handlers of requests from other daemons. */
   createHandlers(): HandlerTable {
     const { directory, grants } = this.#options;
     return {
@@ -67,30 +67,31 @@
     };
   }
 
-  /** Starts to ask. */
+  /** Starts the periodic exchanges. */
   start(): Promise<void> {
     void this.#run(performance.now());
     return Promise.resolve();
   }
 
-  /** Ends the task. */
+  /** Stops the exchanges. */
   stop(): Promise<void> {
     this.#stopped.abort(ABORTED);
     return Promise.resolve();
   }
 
-  /** True once a majority of the seeds grants this daemon the founding. */
+  /** Claims the founding at all seeds; true if a majority of them grants it. */
   async claimFounding(): Promise<boolean> {
     const seeds = this.#options.listSeeds();
-    const answers = await this.#askSeeds(seeds, false);
+    const answers = await this.#sendClaims(seeds, false);
     const granted = answers.filter((isGranted) => isGranted).length;
     if (granted > seeds.length / 2) return true;
-    // Two that claim at once would otherwise block each other for good.
-    await this.#askSeeds(seeds, true);
+    // Returns the grants. Otherwise two daemons that claim at the same time could
+    // block each other forever.
+    await this.#sendClaims(seeds, true);
     return false;
   }
 
-  async #askSeeds(
+  async #sendClaims(
     seeds: readonly string[],
     isReturned: boolean,
   ): Promise<readonly boolean[]> {
@@ -100,7 +101,7 @@
       const answer = await links.get(seed).call(
         "directory.claim",
         { name, bootId, isReturned },
-        { timeoutMilliseconds: CLAIM_MILLISECONDS },
+        { timeoutMilliseconds: CLAIM_TIMEOUT_MILLISECONDS },
       );
       return answer.ok && answer.val.granted;
     }));
@@ -110,33 +111,36 @@
     const { directory, links, intervalMilliseconds } = this.#options;
     while (!this.#stopped.signal.aborted) {
       const now = performance.now();
-      directory.forget(now);
+      directory.removeExpired(now);
       links.dropIdle(now);
-      const isEarly = now - startedAt < HURRY_MILLISECONDS;
-      const isLost = directory.findByRole(ROLES.STORE).length === 0;
-      const peers = this.#choosePeers(isEarly && isLost);
+      const isStartingUp = now - startedAt < STARTUP_MILLISECONDS;
+      const isStoreUnknown = directory.findByRole(ROLES.STORE).length === 0;
+      const peers = this.#choosePeers(isStartingUp && isStoreUnknown);
       for (const address of peers) {
-        void (isLost ? this.#exchange(address) : this.#compare(address));
+        void (isStoreUnknown
+          ? this.#exchange(address)
+          : this.#compare(address));
       }
-      const hurry = isLost
+      const startupInterval = isStoreUnknown
         ? SEARCH_INTERVAL_MILLISECONDS
-        : HURRY_INTERVAL_MILLISECONDS;
-      const pause = isEarly
-        ? Math.min(hurry, intervalMilliseconds)
+        : STARTUP_INTERVAL_MILLISECONDS;
+      const interval = isStartingUp
+        ? Math.min(startupInterval, intervalMilliseconds)
         : intervalMilliseconds;
-      await sleep(pause, this.#stopped.signal);
+      await sleep(interval, this.#stopped.signal);
     }
   }
 
   /**
-   * Seeds join halves that do not know each other; peers outlive seeds. A
-   * daemon that has just started asks every seed, since some may be down.
+   * Chooses a seed and a peer. Seeds connect parts of the site that do not know
+   * each other, and peers remain when seeds fail. A daemon that has just started
+   * and knows no store contacts every seed, since some may be down.
    */
-  #choosePeers(everySeed: boolean): readonly string[] {
+  #choosePeers(includeAllSeeds: boolean): readonly string[] {
     const { directory, listSeeds } = this.#options;
-    const own = directory.self.address;
-    const seeds = listSeeds().filter((address) => address !== own);
-    const chosen = new Set<string>(everySeed ? seeds : []);
+    const ownAddress = directory.self.address;
+    const seeds = listSeeds().filter((address) => address !== ownAddress);
+    const chosen = new Set<string>(includeAllSeeds ? seeds : []);
     for (const addresses of [seeds, directory.listPeers()]) {
       const address = this.#chooseOne(addresses);
       if (address !== undefined) chosen.add(address);
@@ -149,10 +153,10 @@
   }
 
   /**
-   * Finds out what differs and exchanges only that. Among 390 daemons that know
-   * each other a daemon and whoever answers it send 4.0 kB a second in this
-   * way, and 112 kB with all records each time; among 100 it is 1.1 and 28 kB
-   * (counted from the encoded messages, at an interval of 2 s).
+   * Compares the directories and exchanges only the differences. With 390
+   * daemons that know each other and an interval of 2 s, a daemon and its peers
+   * send 4.0 kB/s this way, and 112 kB/s if all records are sent each time; with
+   * 100 daemons, 1.1 and 28 kB/s. These figures count the encoded messages.
    */
   async #compare(address: string): Promise<void> {
     const { directory, links } = this.#options;
@@ -160,7 +164,7 @@
     const answer = await link.call(
       "directory.compare",
       directory.summarize(performance.now()),
-      { timeoutMilliseconds: ANSWER_MILLISECONDS },
+      { timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS },
     );
     if (answer.err) {
       const isOlder = answer.val.code === RESULT_CODES.UNKNOWN_METHOD;
@@ -168,11 +172,11 @@
     }
     const now = performance.now();
     directory.merge(answer.val.records, now);
-    directory.refresh(answer.val.fresher, now);
-    const records = directory.describeWanted(answer.val.wanted, now);
+    directory.refreshAges(answer.val.fresher, now);
+    const records = directory.describeRequested(answer.val.wanted, now);
     if (records.length === 0) return;
     await link.call("directory.exchange", { records, isOnlyTold: true }, {
-      timeoutMilliseconds: ANSWER_MILLISECONDS,
+      timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS,
     });
   }
 
@@ -182,9 +186,9 @@
     const answer = await links.get(address).call(
       "directory.exchange",
       { records },
-      { timeoutMilliseconds: ANSWER_MILLISECONDS },
+      { timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS },
     );
-    // An unreachable peer is no news: its record ages until it is dropped.
+    // A failure is ignored: the record of an unreachable peer ages until it expires.
     if (answer.ok) directory.merge(answer.val.records, performance.now());
   }
 }
--- a/packages/membership/src/directory_task_test.ts
+++ b/packages/membership/src/directory_task_test.ts
@@ -5,17 +5,17 @@
 import { DirectoryTask } from "./directory_task.ts";
 import { FounderGrants } from "./founder_grants.ts";
 
-/** Counts how often idle links are looked for. */
+/** Counts the checks for idle links. */
 class CountingLinks extends PeerLinks {
-  looks = 0;
+  idleChecks = 0;
 
   override dropIdle(now: number): void {
-    this.looks++;
+    this.idleChecks++;
     super.dropIdle(now);
   }
 }
 
-test("links to daemons that are gone are looked for again and again", async (t) => {
+test("idle links to daemons that have left are checked for periodically", async (t) => {
   const links = new CountingLinks({
     name: "a",
     sharedKey: "shared",
@@ -38,8 +38,8 @@
     random: () => 0,
   });
   await task.start();
-  while (links.looks < 3) await sleep(1);
+  while (links.idleChecks < 3) await sleep(1);
   await task.stop();
   links.stop();
-  t.pass("three looks");
+  t.pass("three checks");
 });
--- a/packages/membership/src/directory_test.ts
+++ b/packages/membership/src/directory_test.ts
@@ -1,8 +1,8 @@
 import { test } from "tap";
-import { Directory, type SelfRecord } from "./directory.ts";
+import { type DaemonInfo, Directory } from "./directory.ts";
 import { FounderGrants } from "./founder_grants.ts";
 
-function createRecord(name: string, bootId = "1"): SelfRecord {
+function createRecord(name: string, bootId = "1"): DaemonInfo {
   return {
     name,
     bootId,
@@ -12,7 +12,7 @@
   };
 }
 
-test("the newest word on a daemon counts, and silence makes it forgotten", (t) => {
+test("the most recent record of a daemon wins, and an expired one is dropped", (t) => {
   const directory = new Directory(createRecord("a"));
   directory.merge([{ ...createRecord("b"), ageMilliseconds: 100 }], 1_000);
   directory.merge(
@@ -27,12 +27,12 @@
   t.same(directory.findByRole("store", 2_000).map((found) => found.name), [
     "a",
   ]);
-  directory.forget(100_000);
+  directory.removeExpired(100_000);
   t.equal(directory.find("b"), undefined);
   t.end();
 });
 
-test("a seed grants the founding to one store, and to none after its first start", (t) => {
+test("a seed grants the founding to one store, and to none after a restart", (t) => {
   const directory = new Directory(createRecord("seed"));
   directory.merge([
     { ...createRecord("a"), ageMilliseconds: 0 },
@@ -43,15 +43,21 @@
   t.ok(grants.claim({ name: "a", bootId: "1" }, 0).granted);
   t.notOk(grants.claim({ name: "b", bootId: "1" }, 0).granted);
   grants.claim({ name: "b", bootId: "1", isReturned: true }, 0);
-  t.notOk(grants.claim({ name: "b", bootId: "1" }, 0).granted, "not its own");
+  t.notOk(
+    grants.claim({ name: "b", bootId: "1" }, 0).granted,
+    "it did not hold the grant",
+  );
   grants.claim({ name: "a", bootId: "1", isReturned: true }, 0);
-  t.ok(grants.claim({ name: "b", bootId: "1" }, 0).granted, "given back");
+  t.ok(
+    grants.claim({ name: "b", bootId: "1" }, 0).granted,
+    "the grant was returned",
+  );
   const later = new FounderGrants(directory, false);
   t.notOk(later.claim({ name: "a", bootId: "1" }, 0).granted);
   t.end();
 });
 
-test("a grant stands although its holder has not been heard yet", (t) => {
+test("a grant holds before its holder is in the directory", (t) => {
   const grants = new FounderGrants(new Directory(createRecord("seed")), true);
   t.ok(grants.claim({ name: "b", bootId: "1" }, 0).granted);
   t.notOk(grants.claim({ name: "a", bootId: "1" }, 5).granted);
--- a/packages/membership/src/founder_grants.ts
+++ b/packages/membership/src/founder_grants.ts
@@ -1,18 +1,18 @@
-/** The right to found the site, as a seed grants it. */
+/** Grants of the right to found the site, issued by a seed. */
 
 import type { FoundingClaim, FoundingGrant } from "@mallowlift/core";
 import type { Directory } from "./directory.ts";
 
 /**
- * Time in which a grant stands although its holder is not known, ms: far above
- * the time in which a daemon that runs is heard.
+ * Time for which a grant holds even if its holder is not in the directory, ms. It
+ * is far longer than a running daemon needs to appear there.
  */
-const RECENT_MILLISECONDS = 60_000;
+const GRACE_PERIOD_MILLISECONDS = 60_000;
 
 /**
- * Grants the right to one store for as long as that store is known, and only
- * while the site starts for the first time: a seed that has started again does
- * not remember whom it granted the right.
+ * Grants the right to one store for as long as that store is in the directory.
+ * It grants only during the first start of the site: a seed that has restarted
+ * does not remember the holder of its earlier grant.
  */
 export class FounderGrants {
   readonly #directory: Directory;
@@ -25,14 +25,15 @@
     this.#isFirstStart = isFirstStart;
   }
 
-  /** Answers a claim. */
+  /** Grants, refuses or takes back the right for the daemon of a claim. */
   claim(request: FoundingClaim, now: number): FoundingGrant {
     if (!this.#isFirstStart) return { granted: false };
     const holder = this.#holder;
-    // A holder that claims as soon as it starts may not be in the directory yet.
-    const isRecent = now - this.#grantedAt < RECENT_MILLISECONDS;
+    // A holder that claims right after its start may not be in the directory yet.
+    const isWithinGracePeriod =
+      now - this.#grantedAt < GRACE_PERIOD_MILLISECONDS;
     const isHeld = holder !== undefined && holder.name !== request.name &&
-      (isRecent || this.#directory.find(holder.name) !== undefined);
+      (isWithinGracePeriod || this.#directory.find(holder.name) !== undefined);
     if (isHeld) return { granted: false };
     if (request.isReturned === true) {
       this.#holder = undefined;
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -1,4 +1,4 @@
-/** Directory of daemons, found from a few seeds. */
+/** Directory of the daemons of a site, discovered through a few seeds. */
 
 export * from "./directory.ts";
 export * from "./directory_task.ts";
