--- a/packages/consensus/src/founding/replica_source.ts
+++ b/packages/consensus/src/founding/replica_source.ts
@@ -48,7 +48,7 @@
     return Promise.resolve(true);
   }
 
-  /** Always empty: retirement needs replicas that take over, and a fixed list adds none. */
+  /** Always empty: retirement needs other replicas to take over, and a fixed list has none. */
   listRetiring(): ReadonlySet<string> {
     return new Set();
   }
