--- a/packages/configuration/src/configuration_follower.ts
+++ b/packages/configuration/src/configuration_follower.ts
@@ -1,4 +1,7 @@
-/** Follows the configuration from any daemon, and knows how fresh it is. */
+/**
+ * Keeps a daemon's copy of the configuration up to date and tracks when the
+ * leader last confirmed it.
+ */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -13,70 +16,77 @@
 import type { Caller } from "@mallowlift/transport";
 import { ConfigurationView } from "./configuration_view.ts";
 
-const RETRY_MILLISECONDS = 100;
-const ANSWER_MILLISECONDS = 1_000;
+const RETRY_DELAY_MILLISECONDS = 100;
+const ANSWER_TIMEOUT_MILLISECONDS = 1_000;
 
-/** What a follower needs. */
-export interface FollowerOptions {
+/** Options of a {@linkcode ConfigurationFollower}. */
+export interface ConfigurationFollowerOptions {
   readonly daemonId: string;
   readonly bootId: string;
   /** Links to all replicas. */
   readonly replicas: readonly Caller[];
-  /** How long the leader may hold a poll when nothing changes. */
+  /** Longest time that the leader holds a poll while nothing changes. */
   readonly holdMilliseconds: number;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Polls the leader of the configuration group; one task. */
+/** Polls the leader of the configuration group in a background task. */
 export class ConfigurationFollower {
   readonly view = new ConfigurationView();
-  readonly #options: FollowerOptions;
+  readonly #options: ConfigurationFollowerOptions;
   readonly #stopped = new AbortController();
   readonly #changed = new WakeSignal();
   #confirmedAt = -Infinity;
-  #leader = 0;
+  #replicaIndex = 0;
 
-  constructor(options: FollowerOptions) {
+  constructor(options: ConfigurationFollowerOptions) {
     this.#options = options;
   }
 
-  /** Starts to follow; does not wait for the first answer. */
+  /** Starts to poll, without waiting for the first reply. */
   start(): void {
     void this.#follow();
   }
 
-  /** Stops to follow. */
+  /** Stops polling. */
   stop(): void {
     this.#stopped.abort(ABORTED);
   }
 
-  /** True if the leader confirmed the view no longer ago than the limit. */
+  /**
+   * True if the leader confirmed the view within the limit.
+   *
+   * @param now present time of the monotonic clock, ms
+   * @param limitMilliseconds maximum staleness
+   */
   isFresh(now: number, limitMilliseconds: number): boolean {
     return now - this.#confirmedAt <= limitMilliseconds;
   }
 
-  /** Resolves at the next change, or after the limit. */
+  /** Resolves at the next change, or at the latest after the limit. */
   async waitForChange(limitMilliseconds: number): Promise<void> {
     await this.#changed.wait(limitMilliseconds);
   }
 
   async #follow(): Promise<void> {
     while (!this.#stopped.signal.aborted) {
-      // Freshness counts from the sending of the poll, not from its answer.
-      const askedAt = performance.now();
+      // Freshness counts from when the poll was sent, since a reply cannot
+      // confirm a later time.
+      const sentAt = performance.now();
       const update = await this.#poll();
       if (update.err) {
-        this.#leader = (this.#leader + 1) % this.#options.replicas.length;
-        await sleep(RETRY_MILLISECONDS, this.#stopped.signal);
+        this.#replicaIndex = (this.#replicaIndex + 1) %
+          this.#options.replicas.length;
+        await sleep(RETRY_DELAY_MILLISECONDS, this.#stopped.signal);
         continue;
       }
-      this.#takeUpdate(update.val);
-      this.#confirmedAt = askedAt;
+      this.#applyUpdate(update.val);
+      this.#confirmedAt = sentAt;
     }
   }
 
-  #takeUpdate(update: ConfigurationUpdate): void {
+  #applyUpdate(update: ConfigurationUpdate): void {
     const before = this.view.revision;
     this.view.update(update);
     if (this.view.revision === before) return;
@@ -89,13 +99,13 @@
 
   async #poll(): Promise<Outcome<ConfigurationUpdate>> {
     const { replicas, daemonId, bootId, holdMilliseconds } = this.#options;
-    const replica = replicas[this.#leader % replicas.length];
-    if (replica === undefined) throw new Error("The settings name no replica");
+    const replica = replicas[this.#replicaIndex % replicas.length];
+    if (replica === undefined) throw new Error("The settings list no replicas");
     return await replica.call("configuration.poll", {
       daemonId,
       bootId,
       revision: this.view.revision,
       holdMilliseconds: this.view.revision < 0 ? 0 : holdMilliseconds,
-    }, { timeoutMilliseconds: holdMilliseconds + ANSWER_MILLISECONDS });
+    }, { timeoutMilliseconds: holdMilliseconds + ANSWER_TIMEOUT_MILLISECONDS });
   }
 }
--- a/packages/configuration/src/configuration_state.ts
+++ b/packages/configuration/src/configuration_state.ts
@@ -1,4 +1,4 @@
-/** The replicated state of the configuration group. */
+/** Replicated state machine of the configuration group. */
 
 import { decode, encode } from "cbor-x";
 import {
@@ -14,34 +14,34 @@
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
 
-const KEPT_ORDERS = 20_000;
-const KEPT_CHANGES = 5_000;
+const MAX_STORED_ORDERS = 20_000;
+const MAX_STORED_CHANGES = 5_000;
 
-/** Writes a resource. */
+/** Command that writes or deletes a resource. */
 export interface OrderCommand {
   readonly type: "order";
   readonly order: ResourceOrder;
 }
 
-/** Gives the lease on an upstream's orders to a holder. */
+/** Command that grants a holder the lease to send orders to an upstream. */
 export interface LeaseCommand {
   readonly type: "lease";
   readonly upstream: string;
   readonly holder: string;
 }
 
-/** Commands of the configuration group. */
+/** Any command of the configuration group. */
 export type ConfigurationCommand = OrderCommand | LeaseCommand;
 
-/** The holder of the lease on an upstream's orders. */
+/** Lease whose holder alone may send orders to an upstream. */
 export interface Lease {
   readonly upstream: string;
   readonly holder: string;
-  /** Grows with each new holder, over all upstreams. */
+  /** Increases with each new holder, across all upstreams. */
   readonly fencingNumber: number;
 }
 
-interface KeptOrder {
+interface StoredOrder {
   readonly orderId: string;
   readonly digest: string;
   readonly result: OrderResult;
@@ -51,16 +51,19 @@
   readonly revision: number;
   readonly resources: readonly Resource[];
   readonly changes: readonly ResourceChange[];
-  readonly orders: readonly KeptOrder[];
+  readonly orders: readonly StoredOrder[];
   readonly leases: readonly Lease[];
 }
 
-/** Resources, kept orders and leases. */
+/**
+ * Holds the resources, the latest changes, the results of the latest orders
+ * (to deduplicate retries) and the leases.
+ */
 export class ConfigurationState {
   #revision = 0;
   #resources = new Map<string, Resource>();
   #changes: ResourceChange[] = [];
-  #orders = new Map<string, KeptOrder>();
+  #orders = new Map<string, StoredOrder>();
   #leases = new Map<string, Lease>();
 
   /** Revision of the last change. */
@@ -73,14 +76,14 @@
     return [...this.#resources.values()];
   }
 
-  /** Returns the lease on an upstream, if one was ever given. */
+  /** Returns the latest lease on an upstream, or undefined if there was none. */
   findLease(upstream: string): Lease | undefined {
     return this.#leases.get(upstream);
   }
 
   /**
-   * Returns the changes after a revision, or undefined if they are no longer
-   * all kept.
+   * Returns the changes after a revision, or undefined if some of them have been
+   * discarded or the revision is later than the last one.
    */
   findChanges(afterRevision: number): readonly ResourceChange[] | undefined {
     const oldest = this.#changes[0]?.revision ?? this.#revision + 1;
@@ -90,16 +93,21 @@
     return this.#changes.slice(afterRevision + 1 - oldest);
   }
 
-  /** Applies a committed command. */
+  /**
+   * Applies a committed command.
+   *
+   * @param index log index of the command, which becomes the fencing number of a
+   * lease
+   */
   apply(command: unknown, index: number): Outcome<OrderResult> | Lease {
-    const known = command as ConfigurationCommand;
-    if (known.type === "order") return this.#applyOrder(known.order);
+    const typed = command as ConfigurationCommand;
+    if (typed.type === "order") return this.#applyOrder(typed.order);
     const lease = {
-      upstream: known.upstream,
-      holder: known.holder,
+      upstream: typed.upstream,
+      holder: typed.holder,
       fencingNumber: index,
     };
-    this.#leases.set(known.upstream, lease);
+    this.#leases.set(typed.upstream, lease);
     return lease;
   }
 
@@ -115,7 +123,7 @@
     return [encode(stored)];
   }
 
-  /** Replaces the state by a serialized one. */
+  /** Replaces the state with a serialized one; an empty snapshot clears it. */
   restore(snapshot: Uint8Array): void {
     const empty = {
       revision: 0,
@@ -141,22 +149,22 @@
 
   #applyOrder(order: ResourceOrder): Outcome<OrderResult> {
     const digest = hashText(serializeStable(order));
-    const kept = this.#orders.get(order.orderId);
-    if (kept !== undefined) {
-      if (kept.digest === digest) return Ok(kept.result);
+    const stored = this.#orders.get(order.orderId);
+    if (stored !== undefined) {
+      if (stored.digest === digest) return Ok(stored.result);
       return fail(
         RESULT_CODES.REQUEST_ID_REUSED,
-        "The order id was used for another order",
+        "The order id was already used for a different order",
       );
     }
-    const written = this.#write(order);
+    const written = this.#writeResource(order);
     if (written.err) return written;
     this.#orders.set(order.orderId, {
       orderId: order.orderId,
       digest,
       result: written.val,
     });
-    if (this.#orders.size > KEPT_ORDERS) {
+    if (this.#orders.size > MAX_STORED_ORDERS) {
       for (const oldest of this.#orders.keys()) {
         this.#orders.delete(oldest);
         break;
@@ -165,7 +173,7 @@
     return written;
   }
 
-  #write(order: ResourceOrder): Outcome<OrderResult> {
+  #writeResource(order: ResourceOrder): Outcome<OrderResult> {
     const key = formatKey(order);
     const current = this.#resources.get(key);
     const version = current?.version ?? 0;
@@ -176,12 +184,12 @@
     }
     const { kind, name, spec } = order;
     if (spec === undefined && current === undefined) {
-      return fail(RESULT_CODES.RESOURCE_NOT_FOUND, "There is no such resource");
+      return fail(RESULT_CODES.RESOURCE_NOT_FOUND, "Resource not found");
     }
     const revision = ++this.#revision;
     if (spec === undefined) {
       this.#resources.delete(key);
-      this.#noteChange({ revision, kind, name });
+      this.#recordChange({ revision, kind, name });
       return Ok({ revision, version: 0 });
     }
     const resource: Resource = {
@@ -192,13 +200,13 @@
       spec,
     };
     this.#resources.set(key, resource);
-    this.#noteChange({ revision, kind, name, resource });
+    this.#recordChange({ revision, kind, name, resource });
     return Ok({ revision, version: resource.version });
   }
 
-  #noteChange(change: ResourceChange): void {
+  #recordChange(change: ResourceChange): void {
     this.#changes.push(change);
-    if (this.#changes.length > KEPT_CHANGES) this.#changes.shift();
+    if (this.#changes.length > MAX_STORED_CHANGES) this.#changes.shift();
   }
 }
 
--- a/packages/configuration/src/configuration_state_test.ts
+++ b/packages/configuration/src/configuration_state_test.ts
@@ -22,7 +22,7 @@
   return state.apply({ type: "order", order: next }, 1) as Outcome<OrderResult>;
 }
 
-test("of two orders with equal versions exactly one wins", (t) => {
+test("exactly one of two orders with the same expected version succeeds", (t) => {
   const state = new ConfigurationState();
   const base = { kind: "priority" as const, name: "a", expectedVersion: 0 };
   const first = apply(state, { ...base, orderId: "x", spec: { level: 1 } });
@@ -32,7 +32,7 @@
   t.end();
 });
 
-test("a resent order has one effect and its first answer", (t) => {
+test("a retried order takes effect once and returns its first result", (t) => {
   fc.assert(
     fc.property(fc.array(order, { maxLength: 30 }), (orders) => {
       const state = new ConfigurationState();
@@ -49,7 +49,7 @@
   t.end();
 });
 
-test("a follower ends at the leader's state and never goes back", (t) => {
+test("a follower reaches the leader's state and never returns to an older one", (t) => {
   fc.assert(
     fc.property(
       fc.array(order, { maxLength: 30 }),
@@ -91,7 +91,7 @@
   t.end();
 });
 
-test("a snapshot keeps resources, kept orders and leases", (t) => {
+test("a snapshot preserves resources, stored orders and leases", (t) => {
   fc.assert(
     fc.property(fc.array(order, { maxLength: 30 }), (orders) => {
       const state = new ConfigurationState();
@@ -110,7 +110,7 @@
   t.end();
 });
 
-test("no spec makes the check throw", (t) => {
+test("the check never throws on any spec", (t) => {
   const kinds = [
     "upstream",
     "model",
--- a/packages/configuration/src/configuration_view.ts
+++ b/packages/configuration/src/configuration_view.ts
@@ -1,4 +1,4 @@
-/** The configuration in force at one daemon. */
+/** A daemon's copy of the configuration. */
 
 import {
   type ConfigurationUpdate,
@@ -9,32 +9,32 @@
   type ResourceSpecs,
 } from "@mallowlift/core";
 
-/** An outfit, found by a token. */
+/** Name and spec of an outfit. */
 export interface Outfit {
   readonly name: string;
   readonly spec: ResourceSpecs["outfit"];
 }
 
-/** Limits on a program, by the budgets of its outfit. */
+/** Limits that the budgets of an outfit set for each of its programs. */
 export interface ProgramLimits {
   readonly tokens: number;
   readonly turns: number;
 }
 
-const NO_LIMITS: ProgramLimits = { tokens: 1_000_000_000, turns: 100_000 };
+const DEFAULT_LIMITS: ProgramLimits = { tokens: 1_000_000_000, turns: 100_000 };
 
-/** Resources by kind and name; never goes back in revision. */
+/** Holds resources by kind and name; its revision never decreases. */
 export class ConfigurationView {
   #revision = -1;
   #resources = new Map<string, Resource>();
   #outfitsByToken = new Map<string, Outfit>();
 
-  /** Revision in force; -1 before the first update. */
+  /** Revision of the last update, or -1 before the first one. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Takes over an update; one that does not go forward is dropped. */
+  /** Applies an update, and ignores it if its revision is not later. */
   update(update: ConfigurationUpdate): void {
     if (update.revision <= this.#revision) return;
     if (update.whole) {
@@ -47,12 +47,12 @@
     this.#indexTokens();
   }
 
-  /** Returns a resource. */
+  /** Returns the resource of a kind and name, or undefined. */
   find<K extends ResourceKind>(kind: K, name: string): Resource<K> | undefined {
     return this.#resources.get(`${kind}/${name}`) as Resource<K> | undefined;
   }
 
-  /** Returns all resources of a kind, by name. */
+  /** Returns all resources of a kind, sorted by name. */
   list<K extends ResourceKind>(kind: K): readonly Resource<K>[] {
     const found: Resource<K>[] = [];
     for (const resource of this.#resources.values()) {
@@ -66,9 +66,9 @@
     return this.#outfitsByToken.get(hashText(token));
   }
 
-  /** Returns the least of the limits that budgets set for an outfit. */
+  /** Returns the lowest of the limits that budgets set for an outfit. */
   findLimits(outfit: string): ProgramLimits {
-    let { tokens, turns } = NO_LIMITS;
+    let { tokens, turns } = DEFAULT_LIMITS;
     for (const budget of this.list("budget")) {
       if (budget.spec.outfit !== outfit) continue;
       tokens = Math.min(tokens, budget.spec.tokens_per_program);
--- a/packages/configuration/src/mod.ts
+++ b/packages/configuration/src/mod.ts
@@ -1,4 +1,4 @@
-/** The configuration: its replicated state, and following it. */
+/** The configuration: schemas, replicated state, and a daemon's copy of it. */
 
 export * from "./resource_schemas.ts";
 export * from "./configuration_state.ts";
--- a/packages/configuration/src/resource_schemas.ts
+++ b/packages/configuration/src/resource_schemas.ts
@@ -1,4 +1,4 @@
-/** What each kind of resource may say. */
+/** Schemas of the specs of all resource kinds. */
 
 import Joi from "joi";
 import {
@@ -12,11 +12,11 @@
 import { Ok } from "ts-results";
 
 const NAME_PATTERN = /^[a-z0-9][a-z0-9._-]{0,62}$/;
-const MAX_LIST = 256;
+const MAX_LIST_LENGTH = 256;
 const MAX_TOKENS = 1_000_000_000;
 
 const name = Joi.string().pattern(NAME_PATTERN, "resource name");
-const names = Joi.array().items(name).max(MAX_LIST).unique().default([]);
+const names = Joi.array().items(name).max(MAX_LIST_LENGTH).unique().default([]);
 const version = Joi.string().min(1).max(64).default("1");
 
 const SCHEMAS: Readonly<Record<ResourceKind, Joi.ObjectSchema>> = {
@@ -54,18 +54,20 @@
   }),
 };
 
-/** Returns the kind with this name, if there is one. */
+/** Returns the resource kind with this name, or undefined. */
 export function findResourceKind(text: string): ResourceKind | undefined {
   return Object.values(RESOURCE_KINDS).find((kind) => kind === text);
 }
 
-/** Returns true if the text can name a resource. */
+/** Returns true if the text is a valid resource name. */
 export function isResourceName(text: string): boolean {
   return NAME_PATTERN.test(text);
 }
 
 /**
- * Checks a spec and fills in what it leaves out.
+ * Validates a spec and fills in defaults.
+ *
+ * @returns the completed spec, or INVALID_FIELD
  *
  * @example
  * ```ts
--- a/packages/entry/src/callers/call_answers.ts
+++ b/packages/entry/src/callers/call_answers.ts
@@ -1,4 +1,4 @@
-/** Shapes of the answers to calls. */
+/** Response bodies of model and service calls. */
 
 import {
   type CodedError,
@@ -7,7 +7,7 @@
   type RunCallReply,
 } from "@mallowlift/core";
 
-/** A model answer, in the shape of the chat-completions convention. */
+/** Response body of a model call, in the chat-completions format. */
 export interface ModelAnswerBody {
   readonly id: string;
   readonly object: "chat.completion";
@@ -27,7 +27,7 @@
   readonly digest: string;
 }
 
-/** A service answer. */
+/** Response body of a service call. */
 export interface ServiceAnswerBody {
   readonly id: string;
   readonly status: number;
@@ -37,21 +37,21 @@
   readonly digest: string;
 }
 
-/** Names the call that an answer belongs to. */
-export interface AnswerSubject {
+/** Identifies the call that an answer belongs to. */
+export interface AnsweredCall {
   readonly programId: string;
   readonly requestId: string;
 }
 
-/** Makes the body of a whole model answer. */
-export function describeModelAnswer(
-  subject: AnswerSubject,
+/** Creates the response body of a model call that has ended. */
+export function createModelAnswerBody(
+  call: AnsweredCall,
   model: string,
   reply: RunCallReply,
 ): ModelAnswerBody {
   const { answer } = reply;
   return {
-    id: subject.requestId,
+    id: call.requestId,
     object: "chat.completion",
     model,
     choices: [{
@@ -64,28 +64,28 @@
       completion_tokens: answer.usage.completionTokens,
       cached_tokens: answer.usage.cachedTokens,
     },
-    program: subject.programId,
+    program: call.programId,
     turn: reply.turn,
     digest: reply.digest,
   };
 }
 
-/** Makes the body of a service answer. */
-export function describeServiceAnswer(
-  subject: AnswerSubject,
+/** Creates the response body of a service call that has ended. */
+export function createServiceAnswerBody(
+  call: AnsweredCall,
   reply: RunCallReply,
 ): ServiceAnswerBody {
   return {
-    id: subject.requestId,
+    id: call.requestId,
     status: Number(reply.answer.finish),
-    result: parseResult(reply.answer.text),
-    program: subject.programId,
+    result: parseServiceResult(reply.answer.text),
+    program: call.programId,
     turn: reply.turn,
     digest: reply.digest,
   };
 }
 
-/** Returns the failure that was recorded as the end of a call, if it was one. */
+/** Returns the failure that a call ended with, or undefined if it succeeded. */
 export function findRecordedFailure(
   reply: RunCallReply,
 ): CodedError | undefined {
@@ -94,7 +94,7 @@
   return { code, message: code.meaning };
 }
 
-function parseResult(text: string): unknown {
+function parseServiceResult(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/packages/entry/src/callers/caller_app.ts
+++ b/packages/entry/src/callers/caller_app.ts
@@ -1,7 +1,7 @@
-/** The callers' routes, in one place. */
+/** Routes of the HTTP interface for callers. */
 
 import type { Request, ResponseToolkit, ServerRoute } from "@hapi/hapi";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import { callModel, callService } from "./call_handlers.ts";
 import {
   createChild,
@@ -11,12 +11,14 @@
   readProgram,
 } from "./program_handlers.ts";
 
-/** Lists the routes that callers use. */
-export function createCallerRoutes(parts: EntryParts): readonly ServerRoute[] {
+/** Creates the routes that callers use. */
+export function createCallerRoutes(
+  context: EntryContext,
+): readonly ServerRoute[] {
   const serve =
     (handler: typeof createProgram | typeof callModel) =>
     (request: Request, toolkit: ResponseToolkit) =>
-      handler(parts, request, toolkit);
+      handler(context, request, toolkit);
   const program = "/v1/programs/{program}";
   return [
     { method: "POST", path: "/v1/programs", handler: serve(createProgram) },
--- a/packages/entry/src/callers/caller_schemas.ts
+++ b/packages/entry/src/callers/caller_schemas.ts
@@ -1,15 +1,15 @@
-/** What callers may send. */
+/** Schemas of the request bodies that callers send. */
 
 import Joi from "joi";
 
 const MAX_MESSAGES = 4_096;
 const MAX_TOKENS = 1_000_000;
-const MAX_MILLISECONDS = 30 * 24 * 3_600_000;
+const MAX_DURATION_MILLISECONDS = 30 * 24 * 3_600_000;
 
 const requestId = Joi.string().pattern(/^[A-Za-z0-9._:-]{1,128}$/).required();
 const name = Joi.string().pattern(/^[a-z0-9][a-z0-9._-]{0,62}$/);
 
-/** Body that creates a program or a child. */
+/** Body of a request that creates a program or a child program. */
 export interface CreateProgramBody {
   readonly request_id: string;
   readonly priority?: string;
@@ -19,7 +19,7 @@
   readonly lease_ms?: number;
 }
 
-/** Body of a model call. */
+/** Body of a request that calls a model. */
 export interface ModelCallBody {
   readonly request_id: string;
   readonly model: string;
@@ -31,7 +31,7 @@
   readonly stream: boolean;
 }
 
-/** Body of a service call. */
+/** Body of a request that calls a service. */
 export interface ServiceCallBody {
   readonly request_id: string;
   readonly operation: string;
@@ -44,8 +44,8 @@
   priority: name,
   token_budget: Joi.number().integer().min(1).max(1_000_000_000),
   turn_limit: Joi.number().integer().min(1).max(100_000),
-  deadline_ms: Joi.number().integer().min(1).max(MAX_MILLISECONDS),
-  lease_ms: Joi.number().integer().min(100).max(MAX_MILLISECONDS),
+  deadline_ms: Joi.number().integer().min(1).max(MAX_DURATION_MILLISECONDS),
+  lease_ms: Joi.number().integer().min(100).max(MAX_DURATION_MILLISECONDS),
 });
 
 /** Schema of {@linkcode ModelCallBody}. */
--- a/packages/entry/src/callers/caller_schemas_test.ts
+++ b/packages/entry/src/callers/caller_schemas_test.ts
@@ -11,7 +11,7 @@
 const SECRET = "the crew's secret";
 const SCHEMAS = [CREATE_PROGRAM_SCHEMA, MODEL_CALL_SCHEMA, SERVICE_CALL_SCHEMA];
 
-test("no JSON makes the check throw, and refusals quote no content", (t) => {
+test("the check never throws on JSON and never quotes content in errors", (t) => {
   const field = fc.constantFrom(
     "request_id",
     "model",
@@ -42,7 +42,7 @@
   t.end();
 });
 
-test("unknown fields and wrong types are named", (t) => {
+test("errors name unknown fields and fields of the wrong type", (t) => {
   const body = {
     request_id: "r",
     model: "m",
--- a/packages/entry/src/callers/describe_program.ts
+++ b/packages/entry/src/callers/describe_program.ts
@@ -1,8 +1,8 @@
-/** Programs and histories as callers see them. */
+/** Converts programs and turns to the JSON that callers receive. */
 
 import type { HistoryTurn, ProgramView } from "@mallowlift/core";
 
-/** Returns a program as callers see it. */
+/** Converts a program to the JSON that callers receive. */
 export function describeProgram(program: ProgramView): object {
   return {
     program: program.programId,
@@ -19,7 +19,7 @@
   };
 }
 
-/** Returns one turn as callers see it. */
+/** Converts one turn to the JSON that callers receive. */
 export function describeTurn(turn: HistoryTurn): object {
   const { body } = turn;
   const call = body.kind === "model"
--- a/packages/entry/src/callers/follow_stream.ts
+++ b/packages/entry/src/callers/follow_stream.ts
@@ -1,56 +1,70 @@
-/** Follows the text of a call over all its attempts, for one caller. */
+/**
+ * Follows the text of a streamed call across its attempts and delivers it to
+ * one caller without gaps or repetitions.
+ */
 
 import { ABORTED } from "@mallowlift/core";
 import type { AttemptKey, RunCallEvent, ToldText } from "@mallowlift/core";
 import type { Caller } from "@mallowlift/transport";
 
-const ATTACH_MILLISECONDS = 2_000_000_000;
-const TOLD_MILLISECONDS = 1_000;
+const ATTACH_TIMEOUT_MILLISECONDS = 2_000_000_000;
+const REPORT_TIMEOUT_MILLISECONDS = 1_000;
 
-/** What a follower needs. */
-export interface FollowStreamOptions {
+/** Options of a {@linkcode StreamFollower}. */
+export interface StreamFollowerOptions {
   readonly findSidecar: (address: string) => Caller;
-  /** Sends the told text to the owner of the program. */
-  readonly sendTold: (told: ToldText) => Promise<unknown>;
-  /** Tells the caller more text. */
+  /**
+   * Reports the text that the caller has received to the owner of the program,
+   * so that the next attempt can continue it.
+   */
+  readonly reportDeliveredText: (text: ToldText) => Promise<unknown>;
+  /** Sends further text to the caller. */
   readonly onText: (text: string) => void;
   readonly signal: AbortSignal;
 }
 
-/** Attaches to each attempt in turn and tells the caller only what is new. */
+/** Attaches to one attempt after another and delivers only new text. */
 export class StreamFollower {
-  readonly #options: FollowStreamOptions;
-  #told = "";
+  readonly #options: StreamFollowerOptions;
+  #delivered = "";
   #attempt: AttemptKey | undefined;
-  #attached = new AbortController();
+  #attachment = new AbortController();
 
-  constructor(options: FollowStreamOptions) {
+  constructor(options: StreamFollowerOptions) {
     this.#options = options;
   }
 
-  /** Text that the caller has been told. */
+  /** Text that has been sent to the caller so far. */
   get told(): string {
-    return this.#told;
+    return this.#delivered;
   }
 
-  /** Takes an event of the owner. */
-  takeEvent(event: RunCallEvent): void {
+  /**
+   * Handles an event from the owner of the program: attaches to an attempt that
+   * was dispatched, or reports the delivered text when an attempt was lost.
+   */
+  handleEvent(event: RunCallEvent): void {
     if (event.event === "dispatched") return void this.#attach(event);
-    this.#attached.abort(ABORTED);
+    this.#attachment.abort(ABORTED);
     const { programId, requestId, attempt } = event.attempt;
-    const told = { programId, requestId, attempt, text: this.#told };
-    void this.#options.sendTold(told);
+    const delivered = {
+      programId,
+      requestId,
+      attempt,
+      text: this.#delivered,
+    };
+    void this.#options.reportDeliveredText(delivered);
   }
 
   /**
-   * Tells the rest of a whole answer.
+   * Delivers the rest of the complete answer.
    *
-   * @returns false if the answer does not begin with what was told
+   * @returns false if the answer does not begin with the text already delivered
    */
   finish(text: string): boolean {
-    this.#attached.abort(ABORTED);
-    if (!text.startsWith(this.#told)) return false;
-    this.#tell(text.slice(this.#told.length));
+    this.#attachment.abort(ABORTED);
+    if (!text.startsWith(this.#delivered)) return false;
+    this.#deliver(text.slice(this.#delivered.length));
     return true;
   }
 
@@ -59,38 +73,40 @@
       this.#attempt !== undefined && isSameAttempt(this.#attempt, event.attempt)
     ) return;
     this.#attempt = event.attempt;
-    this.#attached.abort(ABORTED);
-    const attached = new AbortController();
-    this.#attached = attached;
-    const { signal } = attached;
-    const leave = () => attached.abort(ABORTED);
-    this.#options.signal.addEventListener("abort", leave, { once: true });
-    const request = { key: event.attempt, offset: this.#told.length };
+    this.#attachment.abort(ABORTED);
+    const attachment = new AbortController();
+    this.#attachment = attachment;
+    const { signal } = attachment;
+    const detach = () => attachment.abort(ABORTED);
+    this.#options.signal.addEventListener("abort", detach, { once: true });
+    const request = { key: event.attempt, offset: this.#delivered.length };
     await this.#options.findSidecar(event.address).call(
       "attempts.attach",
       request,
       {
-        timeoutMilliseconds: ATTACH_MILLISECONDS,
+        timeoutMilliseconds: ATTACH_TIMEOUT_MILLISECONDS,
         signal,
         onChunk: (chunk) => {
-          if (signal.aborted || chunk.offset > this.#told.length) return;
-          this.#tell(chunk.text.slice(this.#told.length - chunk.offset));
+          if (signal.aborted || chunk.offset > this.#delivered.length) return;
+          this.#deliver(
+            chunk.text.slice(this.#delivered.length - chunk.offset),
+          );
         },
       },
     );
-    this.#options.signal.removeEventListener("abort", leave);
+    this.#options.signal.removeEventListener("abort", detach);
     if (this.#attempt === event.attempt) this.#attempt = undefined;
   }
 
-  #tell(text: string): void {
+  #deliver(text: string): void {
     if (text === "") return;
-    this.#told += text;
+    this.#delivered += text;
     this.#options.onText(text);
   }
 }
 
-/** Longest time that telling an owner may take. */
-export const TELL_LIMIT_MILLISECONDS = TOLD_MILLISECONDS;
+/** Timeout for reporting the delivered text to an owner, ms. */
+export const DELIVERY_REPORT_TIMEOUT_MILLISECONDS = REPORT_TIMEOUT_MILLISECONDS;
 
 function isSameAttempt(left: AttemptKey, right: AttemptKey): boolean {
   return left.attempt === right.attempt && left.requestId === right.requestId;
--- a/packages/entry/src/callers/follow_stream_test.ts
+++ b/packages/entry/src/callers/follow_stream_test.ts
@@ -15,7 +15,7 @@
 
 const SEED = 1;
 
-/** A sidecar that sends chunks when the test says so. */
+/** A sidecar that sends chunks when the test calls `send`. */
 class FakeSidecar implements Caller {
   send: ((chunk: TextChunk) => void) | undefined;
 
@@ -27,7 +27,7 @@
     this.send = options.onChunk as (chunk: TextChunk) => void;
     const done = createDeferred<Outcome<never>>();
     options.signal?.addEventListener("abort", () => {
-      done.resolve(fail(RESULT_CODES.CANCELLED, "Over"));
+      done.resolve(fail(RESULT_CODES.CANCELLED, "Cancelled"));
     });
     return done.promise;
   }
@@ -44,34 +44,34 @@
   };
 }
 
-test("late, repeated and overlapping chunks of any attempts tell each character once", (t) => {
+test("each character is delivered once despite late, repeated and overlapping chunks", (t) => {
   const step = fc.record({
     offset: fc.nat(30),
     size: fc.integer({ min: 1, max: 12 }),
-    moves: fc.boolean(),
+    startsAttempt: fc.boolean(),
   });
   fc.assert(
     fc.property(
       fc.string({ maxLength: 30 }),
       fc.array(step),
       (answer, steps) => {
-        let told = "";
+        let delivered = "";
         const sidecars = [new FakeSidecar(), new FakeSidecar()];
         let attempt = 1;
         const follower = new StreamFollower({
           findSidecar: () => sidecars[attempt % 2] ?? new FakeSidecar(),
-          sendTold: () => Promise.resolve(),
-          onText: (text) => told += text,
+          reportDeliveredText: () => Promise.resolve(),
+          onText: (text) => delivered += text,
           signal: new AbortController().signal,
         });
-        follower.takeEvent(createEvent(attempt));
-        for (const { offset, size, moves } of steps) {
+        follower.handleEvent(createEvent(attempt));
+        for (const { offset, size, startsAttempt } of steps) {
           const text = answer.slice(offset, offset + size);
           for (const sidecar of sidecars) sidecar.send?.({ offset, text });
-          if (!answer.startsWith(told)) return false;
-          if (moves) follower.takeEvent(createEvent(++attempt));
+          if (!answer.startsWith(delivered)) return false;
+          if (startsAttempt) follower.handleEvent(createEvent(++attempt));
         }
-        return follower.finish(answer) && told === answer;
+        return follower.finish(answer) && delivered === answer;
       },
     ),
     { seed: SEED, numRuns: 300 },
@@ -79,15 +79,15 @@
   t.end();
 });
 
-test("an answer that does not begin with what was told is recognized", (t) => {
+test("an answer that does not begin with the delivered text is detected", (t) => {
   const sidecar = new FakeSidecar();
   const follower = new StreamFollower({
     findSidecar: () => sidecar,
-    sendTold: () => Promise.resolve(),
+    reportDeliveredText: () => Promise.resolve(),
     onText: () => undefined,
     signal: new AbortController().signal,
   });
-  follower.takeEvent(createEvent(1));
+  follower.handleEvent(createEvent(1));
   sidecar.send?.({ offset: 0, text: "snow" });
   t.notOk(follower.finish("ice and snow"));
   t.end();
--- a/packages/entry/src/callers/program_handlers.ts
+++ b/packages/entry/src/callers/program_handlers.ts
@@ -1,4 +1,4 @@
-/** The work behind the routes of programs and histories. */
+/** Handlers of the routes that create, read and end programs. */
 
 import type { Request, ResponseObject, ResponseToolkit } from "@hapi/hapi";
 import type { Outfit } from "@mallowlift/configuration";
@@ -15,7 +15,7 @@
   serializeStable,
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import { answerError, answerValue, refuse } from "../http/answer.ts";
 import { authenticateOutfit } from "../http/authentication.ts";
 import { checkBody } from "../http/check_body.ts";
@@ -23,35 +23,39 @@
   CREATE_PROGRAM_SCHEMA,
   type CreateProgramBody,
 } from "./caller_schemas.ts";
-import { checkCaller, checkReady, readProgramId } from "./check_caller.ts";
+import {
+  checkAcceptsWork,
+  checkCaller,
+  readProgramId,
+} from "./check_caller.ts";
 import { describeProgram, describeTurn } from "./describe_program.ts";
 
 const DEFAULT_DEADLINE_MILLISECONDS = 24 * 3_600_000;
 const DEFAULT_LEASE_MILLISECONDS = 600_000;
-const DEFAULT_TURNS = 1_000;
-const DEFAULT_TOKENS = 10_000_000;
-const SHORT_CALL_MILLISECONDS = 5_000;
-const HISTORY_LIMIT = 100;
+const DEFAULT_TURN_LIMIT = 1_000;
+const DEFAULT_TOKEN_BUDGET = 10_000_000;
+const OWNER_CALL_TIMEOUT_MILLISECONDS = 5_000;
+const HISTORY_PAGE_TURNS = 100;
 const HTTP_CREATED = 201;
 
 /** Creates a root program. */
 export async function createProgram(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  return await createProgramBelow(parts, { request, toolkit });
+  return await createProgramOrChild(context, { request, toolkit });
 }
 
-/** Creates a child of a program. */
+/** Creates a child of the program in the path. */
 export async function createChild(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
   const parent = readProgramId(request);
-  if (parent.err) return refuse(parts, toolkit, parent.val);
-  return await createProgramBelow(parts, {
+  if (parent.err) return refuse(context, toolkit, parent.val);
+  return await createProgramOrChild(context, {
     request,
     toolkit,
     parent: parent.val,
@@ -60,14 +64,14 @@
 
 /** Reads a program. */
 export async function readProgram(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const checked = checkCaller(parts, request);
-  if (checked.err) return refuse(parts, toolkit, checked.val);
+  const checked = checkCaller(context, request);
+  if (checked.err) return refuse(context, toolkit, checked.val);
   const { outfit, programId } = checked.val;
-  return await answerFromOwner(parts, toolkit, {
+  return await answerFromOwner(context, toolkit, {
     programId,
     name: "programs.read",
     request: { programId, outfit: outfit.name },
@@ -75,27 +79,32 @@
   });
 }
 
-/** Reads a part of a program's history. */
+/** Reads one page of a program's history, from the turn in the query on. */
 export async function readHistory(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const checked = checkCaller(parts, request);
-  if (checked.err) return refuse(parts, toolkit, checked.val);
+  const checked = checkCaller(context, request);
+  if (checked.err) return refuse(context, toolkit, checked.val);
   const fromTurn = Number(request.query.from ?? 1);
   if (!Number.isSafeInteger(fromTurn) || fromTurn < 1) {
-    const message = "Not allowed: from must be a whole number from 1";
-    return refuse(parts, toolkit, {
+    const message = "Query parameter from must be an integer of at least 1";
+    return refuse(context, toolkit, {
       code: RESULT_CODES.INVALID_FIELD,
       message,
     });
   }
   const { outfit, programId } = checked.val;
-  return await answerFromOwner(parts, toolkit, {
+  return await answerFromOwner(context, toolkit, {
     programId,
     name: "programs.history",
-    request: { programId, outfit: outfit.name, fromTurn, limit: HISTORY_LIMIT },
+    request: {
+      programId,
+      outfit: outfit.name,
+      fromTurn,
+      limit: HISTORY_PAGE_TURNS,
+    },
     describe: (page) => ({
       program: describeProgram(page.program),
       turns: page.turns.map(describeTurn),
@@ -103,16 +112,16 @@
   });
 }
 
-/** Ends a program and its children. */
+/** Ends a program and all its children. */
 export async function endProgram(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const checked = checkCaller(parts, request);
-  if (checked.err) return refuse(parts, toolkit, checked.val);
+  const checked = checkCaller(context, request);
+  if (checked.err) return refuse(context, toolkit, checked.val);
   const { outfit, programId } = checked.val;
-  return await answerFromOwner(parts, toolkit, {
+  return await answerFromOwner(context, toolkit, {
     programId,
     name: "programs.end",
     request: { programId, outfit: outfit.name, reason: END_REASONS.CALLER },
@@ -120,8 +129,8 @@
   });
 }
 
-async function createProgramBelow(
-  parts: EntryParts,
+async function createProgramOrChild(
+  context: EntryContext,
   options: {
     readonly request: Request;
     readonly toolkit: ResponseToolkit;
@@ -129,20 +138,20 @@
   },
 ): Promise<ResponseObject> {
   const { request, toolkit, parent } = options;
-  const ready = checkReady(parts);
-  if (ready.err) return refuse(parts, toolkit, ready.val);
-  const outfit = authenticateOutfit(request, parts.follower.view);
-  if (outfit.err) return refuse(parts, toolkit, outfit.val);
+  const ready = checkAcceptsWork(context);
+  if (ready.err) return refuse(context, toolkit, ready.val);
+  const outfit = authenticateOutfit(request, context.follower.view);
+  if (outfit.err) return refuse(context, toolkit, outfit.val);
   const body = checkBody(CREATE_PROGRAM_SCHEMA, request.payload);
-  if (body.err) return refuse(parts, toolkit, body.val);
-  const spec = describeSpec(parts, {
+  if (body.err) return refuse(context, toolkit, body.val);
+  const spec = createProgramSpec(context, {
     outfit: outfit.val,
     body: body.val,
     parent,
   });
-  if (spec.err) return refuse(parts, toolkit, spec.val);
+  if (spec.err) return refuse(context, toolkit, spec.val);
   const programId = deriveProgramId(spec.val);
-  return await answerFromOwner(parts, toolkit, {
+  return await answerFromOwner(context, toolkit, {
     programId,
     name: "programs.create",
     request: { programId, spec: spec.val },
@@ -151,11 +160,11 @@
   });
 }
 
-/** Asks the owner of a program, and answers with what it says. */
+/** Forwards a request to the owner of a program and converts its reply. */
 async function answerFromOwner<N extends HandlerName>(
-  parts: EntryParts,
+  context: EntryContext,
   toolkit: ResponseToolkit,
-  question: {
+  query: {
     readonly programId: string;
     readonly name: N;
     readonly request: InternalHandlers[N]["request"];
@@ -163,25 +172,25 @@
     readonly status?: number;
   },
 ): Promise<ResponseObject> {
-  const { programId, name, request, describe, status } = question;
-  const reply = await parts.owners.call(parts.findGroup(programId), {
+  const { programId, name, request, describe, status } = query;
+  const reply = await context.owners.call(context.findGroup(programId), {
     name,
     createRequest: () => request,
-  }, { timeoutMilliseconds: SHORT_CALL_MILLISECONDS });
+  }, { timeoutMilliseconds: OWNER_CALL_TIMEOUT_MILLISECONDS });
   if (reply.err) return answerError(toolkit, reply.val, "owner");
   return answerValue(toolkit, describe(reply.val), status);
 }
 
-function describeSpec(
-  parts: EntryParts,
-  source: {
+function createProgramSpec(
+  context: EntryContext,
+  options: {
     readonly outfit: Outfit;
     readonly body: CreateProgramBody;
     readonly parent?: string;
   },
 ): Outcome<ProgramSpec> {
-  const { outfit, body, parent } = source;
-  const { view } = parts.follower;
+  const { outfit, body, parent } = options;
+  const { view } = context.follower;
   const limits = view.findLimits(outfit.name);
   let priority: number | undefined;
   if (body.priority !== undefined) {
@@ -202,8 +211,11 @@
     parent,
     askedDigest: hashText(serializeStable(body)),
     priority,
-    tokenBudget: Math.min(body.token_budget ?? DEFAULT_TOKENS, limits.tokens),
-    turnLimit: Math.min(body.turn_limit ?? DEFAULT_TURNS, limits.turns),
+    tokenBudget: Math.min(
+      body.token_budget ?? DEFAULT_TOKEN_BUDGET,
+      limits.tokens,
+    ),
+    turnLimit: Math.min(body.turn_limit ?? DEFAULT_TURN_LIMIT, limits.turns),
     deadlineMilliseconds: body.deadline_ms ?? DEFAULT_DEADLINE_MILLISECONDS,
     leaseMilliseconds: body.lease_ms ?? DEFAULT_LEASE_MILLISECONDS,
   });
--- a/packages/entry/src/callers/run_call.ts
+++ b/packages/entry/src/callers/run_call.ts
@@ -1,4 +1,4 @@
-/** Sends a call to the owner of its program. */
+/** Sends calls to the owner of their program and waits for the result. */
 
 import type { Request, ResponseObject, ResponseToolkit } from "@hapi/hapi";
 import {
@@ -9,13 +9,13 @@
   RESULT_CODES,
   type RunCallReply,
 } from "@mallowlift/core";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import { answerError } from "../http/answer.ts";
 import type { StreamFollower } from "./follow_stream.ts";
 
-const LONG_CALL_MILLISECONDS = 2_000_000_000;
+const RUN_CALL_TIMEOUT_MILLISECONDS = 2_000_000_000;
 
-/** A call that is ready to be sent to its owner. */
+/** A checked call that can be sent to the owner of its program. */
 export interface PreparedCall {
   readonly outfit: string;
   readonly programId: string;
@@ -23,9 +23,12 @@
   readonly body: CallBody;
 }
 
-/** Runs a call, or joins it, and waits for its recorded end. */
+/**
+ * Runs a call, or attaches to it if it is already in flight, and waits for its
+ * recorded end.
+ */
 export async function runCall(
-  parts: EntryParts,
+  context: EntryContext,
   options: {
     readonly call: PreparedCall;
     readonly signal: AbortSignal;
@@ -34,26 +37,32 @@
 ): Promise<Outcome<RunCallReply>> {
   const { call, signal, follower } = options;
   const stream = follower !== undefined;
-  return await parts.owners.call(parts.findGroup(call.programId), {
+  return await context.owners.call(context.findGroup(call.programId), {
     name: "calls.run",
-    // Made anew for each owner, which needs the text told so far.
+    // Created again for each owner, so that it has the text delivered so far.
     createRequest: () => ({ ...call, stream, told: follower?.told ?? "" }),
   }, {
-    timeoutMilliseconds: LONG_CALL_MILLISECONDS,
+    timeoutMilliseconds: RUN_CALL_TIMEOUT_MILLISECONDS,
     signal,
-    onChunk: (event) => follower?.takeEvent(event),
+    onChunk: (event) => follower?.handleEvent(event),
   });
 }
 
-/** Aborts when the caller goes away; an accepted call goes on without it. */
-export function watchCaller(request: Request): AbortSignal {
-  const gone = new AbortController();
-  request.raw.res.once("close", () => gone.abort(ABORTED));
-  return gone.signal;
+/**
+ * Returns a signal that aborts when the caller disconnects. A call that its
+ * owner has accepted continues without the caller.
+ */
+export function createDisconnectSignal(request: Request): AbortSignal {
+  const disconnected = new AbortController();
+  request.raw.res.once("close", () => disconnected.abort(ABORTED));
+  return disconnected.signal;
 }
 
-/** Answers with a refusal that the owner, or nobody, has given. */
-export function refuseByOwner(
+/**
+ * Answers with the error of a call. NO_LEADER is reported as an error of this
+ * entry, since no owner accepted the call, and all others as errors of the owner.
+ */
+export function answerCallError(
   toolkit: ResponseToolkit,
   error: CodedError,
 ): ResponseObject {
--- a/packages/entry/src/callers/stream_call.ts
+++ b/packages/entry/src/callers/stream_call.ts
@@ -1,4 +1,4 @@
-/** A model call whose answer is streamed to its caller. */
+/** Runs model calls whose answers are streamed to the caller. */
 
 import type { Request, ResponseObject, ResponseToolkit } from "@hapi/hapi";
 import {
@@ -7,24 +7,27 @@
   RESULT_CODES,
   type RunCallReply,
 } from "@mallowlift/core";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import { createErrorBody } from "../http/answer.ts";
-import { EventOutput } from "../http/event_output.ts";
-import { describeModelAnswer, findRecordedFailure } from "./call_answers.ts";
-import { StreamFollower, TELL_LIMIT_MILLISECONDS } from "./follow_stream.ts";
+import { EventStreamWriter } from "../http/event_output.ts";
+import { createModelAnswerBody, findRecordedFailure } from "./call_answers.ts";
 import {
+  DELIVERY_REPORT_TIMEOUT_MILLISECONDS,
+  StreamFollower,
+} from "./follow_stream.ts";
+import {
+  answerCallError,
+  createDisconnectSignal,
   type PreparedCall,
-  refuseByOwner,
   runCall,
-  watchCaller,
 } from "./run_call.ts";
 
-const CHUNK_ENDING = `},"finish_reason":null}]}`;
-const END_MARK = "[DONE]";
+const CHUNK_SUFFIX = `},"finish_reason":null}]}`;
+const LAST_EVENT_DATA = "[DONE]";
 
-/** Runs a model call and writes its text as it comes. */
+/** Runs a model call and streams its text as it is generated. */
 export async function streamModelCall(
-  parts: EntryParts,
+  context: EntryContext,
   options: {
     readonly request: Request;
     readonly toolkit: ResponseToolkit;
@@ -33,32 +36,32 @@
   },
 ): Promise<ResponseObject | symbol> {
   const { request, toolkit, call, model } = options;
-  const output = new EventOutput(request.raw.res);
-  const signal = watchCaller(request);
-  const beginning = describeChunkBeginning(call, model);
+  const output = new EventStreamWriter(request.raw.res);
+  const signal = createDisconnectSignal(request);
+  const chunkPrefix = createChunkPrefix(call, model);
   const follower = new StreamFollower({
-    findSidecar: (address) => parts.links.get(address),
-    sendTold: (told) =>
-      parts.owners.call(parts.findGroup(told.programId), {
+    findSidecar: (address) => context.links.get(address),
+    reportDeliveredText: (delivered) =>
+      context.owners.call(context.findGroup(delivered.programId), {
         name: "calls.told",
-        createRequest: () => told,
-      }, { timeoutMilliseconds: TELL_LIMIT_MILLISECONDS }),
+        createRequest: () => delivered,
+      }, { timeoutMilliseconds: DELIVERY_REPORT_TIMEOUT_MILLISECONDS }),
     onText: (text) =>
-      output.writeText(`${beginning}${JSON.stringify(text)}${CHUNK_ENDING}`),
+      output.writeEvent(`${chunkPrefix}${JSON.stringify(text)}${CHUNK_SUFFIX}`),
     signal,
   });
-  const reply = await runCall(parts, { call, signal, follower });
+  const reply = await runCall(context, { call, signal, follower });
   const failure = findStreamFailure(reply, follower);
-  // A refusal before the first text has a status of its own.
+  // Before the first event, the failure can still set the HTTP status.
   if (failure !== undefined && !output.isOpen) {
-    return refuseByOwner(toolkit, failure);
+    return answerCallError(toolkit, failure);
   }
   if (failure !== undefined) {
-    output.writeText(JSON.stringify(createErrorBody(failure, "owner")));
+    output.writeEvent(JSON.stringify(createErrorBody(failure, "owner")));
   } else if (reply.ok) {
-    const answer = describeModelAnswer(call, model, reply.val);
-    output.writeText(JSON.stringify(answer));
-    output.writeText(END_MARK);
+    const answer = createModelAnswerBody(call, model, reply.val);
+    output.writeEvent(JSON.stringify(answer));
+    output.writeEvent(LAST_EVENT_DATA);
   }
   output.end();
   return toolkit.abandon;
@@ -76,8 +79,8 @@
   return { code, message: code.meaning };
 }
 
-/** Everything of a chunk before its text; the same for all chunks of a call. */
-function describeChunkBeginning(call: PreparedCall, model: string): string {
+/** Returns the JSON before the text of a chunk; all chunks of a call share it. */
+function createChunkPrefix(call: PreparedCall, model: string): string {
   const id = JSON.stringify(call.requestId);
   return `{"id":${id},"object":"chat.completion.chunk",` +
     `"model":${
--- a/packages/entry/src/entry_parts.ts
+++ b/packages/entry/src/entry_parts.ts
@@ -1,12 +1,12 @@
-/** What the routes of an entry share. */
+/** The dependencies that the request handlers of an entry share. */
 
 import type { ConfigurationFollower } from "@mallowlift/configuration";
 import type { Logger, Metrics } from "@mallowlift/core";
 import type { PeerLinks } from "@mallowlift/transport";
 import type { OwnerDirectory } from "./owners/owner_directory.ts";
 
-/** Parts of a running entry. */
-export interface EntryParts {
+/** Dependencies and state of a running entry. */
+export interface EntryContext {
   readonly owners: OwnerDirectory;
   readonly links: PeerLinks;
   readonly follower: ConfigurationFollower;
@@ -15,8 +15,8 @@
   readonly metrics: Metrics;
   /** Returns the group that owns a program. */
   findGroup(programId: string): number;
-  /** True if the configuration was confirmed a short while ago. */
+  /** True if the configuration was confirmed recently enough to serve requests. */
   isFresh(): boolean;
-  /** True once this entry is leaving. */
+  /** True once this entry drains and rejects new requests. */
   isDraining(): boolean;
 }
--- a/packages/entry/src/entry_role.ts
+++ b/packages/entry/src/entry_role.ts
@@ -1,4 +1,4 @@
-/** The entry role: HTTP for callers and operators; keeps nothing. */
+/** The entry role: a stateless HTTP server for callers and operators. */
 
 import { performance } from "node:perf_hooks";
 import type { Server } from "@hapi/hapi";
@@ -12,14 +12,14 @@
 } from "@mallowlift/core";
 import { parseAddress, type PeerLinks } from "@mallowlift/transport";
 import { createCallerRoutes } from "./callers/caller_app.ts";
-import type { EntryParts } from "./entry_parts.ts";
+import type { EntryContext } from "./entry_parts.ts";
 import { createHttpServer } from "./http/create_server.ts";
 import { createOperatorRoutes } from "./operators/operator_app.ts";
 import { OwnerDirectory } from "./owners/owner_directory.ts";
 
-const HOLD_MILLISECONDS = 1_000;
+const POLL_HOLD_MILLISECONDS = 1_000;
 
-/** What the role needs. */
+/** Options of an {@linkcode EntryRole}. */
 export interface EntryRoleOptions {
   readonly settings: Settings;
   readonly bootId: string;
@@ -28,7 +28,10 @@
   readonly metrics: Metrics;
 }
 
-/** An entry. */
+/**
+ * Serves the HTTP interface and forwards requests to the owners of programs
+ * and of the configuration.
+ */
 export class EntryRole implements Child {
   readonly name = "entry";
   readonly #options: EntryRoleOptions;
@@ -50,11 +53,11 @@
       daemonId: daemon.name,
       bootId,
       replicas,
-      holdMilliseconds: HOLD_MILLISECONDS,
+      holdMilliseconds: POLL_HOLD_MILLISECONDS,
       logger,
       metrics,
     });
-    const parts: EntryParts = {
+    const context: EntryContext = {
       owners: new OwnerDirectory(replicas, {
         waitMilliseconds: entry.ownerWaitMilliseconds,
         metrics,
@@ -79,30 +82,33 @@
       metrics,
     });
     this.#server.route([
-      ...createCallerRoutes(parts),
-      ...createOperatorRoutes(parts),
+      ...createCallerRoutes(context),
+      ...createOperatorRoutes(context),
     ]);
   }
 
-  /** True if the configuration was confirmed a short while ago. */
+  /** True if the configuration was confirmed within `staleMilliseconds`. */
   isFresh(): boolean {
     const limit = this.#options.settings.entry.staleMilliseconds;
     return this.#follower.isFresh(performance.now(), limit);
   }
 
-  /** True while new work is taken. */
+  /** True while this entry accepts new work. */
   isHealthy(): boolean {
     return this.isFresh() && !this.#draining;
   }
 
-  /** Starts to serve; requests are refused until the configuration is known. */
+  /**
+   * Starts the HTTP server. Requests of callers are rejected until the
+   * configuration has been received.
+   */
   async start(): Promise<void> {
     this.#follower.start();
     await this.#server.start();
     this.#logger.info("Started", { address: this.#server.info.uri });
   }
 
-  /** Refuses new requests and finishes open ones. */
+  /** Rejects new requests and waits for those in flight, up to a timeout. */
   async stop(): Promise<void> {
     this.#draining = true;
     const timeout = this.#options.settings.daemon.stopMilliseconds;
--- a/packages/entry/src/http/answer.ts
+++ b/packages/entry/src/http/answer.ts
@@ -1,25 +1,25 @@
-/** Turns outcomes into HTTP answers. */
+/** Creates HTTP responses from values and errors. */
 
 import type { ResponseObject, ResponseToolkit } from "@hapi/hapi";
 import { type CodedError, countRefusal, type Metrics } from "@mallowlift/core";
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A refusal or failure as callers and operators see it. */
+/** Response body of a request that was rejected or failed. */
 export interface ErrorBody {
   readonly error: {
     readonly code: number;
     readonly name: string;
     readonly message: string;
-    /** True if the call has not run and will not run because of this request. */
+    /** True if this request has not run a call and will not run one later. */
     readonly not_run: boolean;
-    /** Who says so: the entry itself, or the owner of the program. */
+    /** Where the error comes from: this entry or the owner of the program. */
     readonly by: "entry" | "owner";
     readonly retry_after_ms?: number;
   };
 }
 
-/** Makes the body of a refusal or failure. */
+/** Creates the response body of an error. */
 export function createErrorBody(
   error: CodedError,
   by: "entry" | "owner",
@@ -39,7 +39,7 @@
   };
 }
 
-/** Answers with a refusal or failure. */
+/** Answers with an error, and with a `Retry-After` header if it has a delay. */
 export function answerError(
   toolkit: ResponseToolkit,
   error: CodedError,
@@ -57,7 +57,7 @@
   return response;
 }
 
-/** Answers with a value. */
+/** Answers with a value as JSON. */
 export function answerValue(
   toolkit: ResponseToolkit,
   value: object,
@@ -66,12 +66,12 @@
   return toolkit.response(value).code(status);
 }
 
-/** Answers with a refusal of this entry's own, and counts it. */
+/** Rejects a request with an error of this entry, and counts the rejection. */
 export function refuse(
-  parts: { readonly metrics: Metrics },
+  context: { readonly metrics: Metrics },
   toolkit: ResponseToolkit,
   error: CodedError,
 ): ResponseObject {
-  countRefusal(parts.metrics, "entry", error.code);
+  countRefusal(context.metrics, "entry", error.code);
   return answerError(toolkit, error);
 }
--- a/packages/entry/src/http/authentication.ts
+++ b/packages/entry/src/http/authentication.ts
@@ -1,4 +1,4 @@
-/** Who asks: the outfit of a caller, or an operator. */
+/** Authenticates callers and operators by their bearer token. */
 
 import type { Request } from "@hapi/hapi";
 import type { ConfigurationView, Outfit } from "@mallowlift/configuration";
@@ -13,7 +13,11 @@
 
 const BEARER = "Bearer ";
 
-/** Returns the outfit whose token the request carries. */
+/**
+ * Returns the outfit that the bearer token of a request belongs to.
+ *
+ * @returns NOT_AUTHENTICATED if the token is missing or unknown
+ */
 export function authenticateOutfit(
   request: Request,
   view: ConfigurationView,
@@ -26,7 +30,11 @@
   );
 }
 
-/** Checks that the request carries the operators' token. */
+/**
+ * Checks that a request carries the operator token.
+ *
+ * @returns NOT_AUTHENTICATED if the token is missing or wrong
+ */
 export function authenticateOperator(
   request: Request,
   tokenSha256: string,
--- a/packages/entry/src/http/check_body.ts
+++ b/packages/entry/src/http/check_body.ts
@@ -1,10 +1,15 @@
-/** Checks the JSON bodies of callers and operators. */
+/** Validates the JSON bodies of callers and operators. */
 
 import { fail, type Outcome, RESULT_CODES } from "@mallowlift/core";
 import type Joi from "joi";
 import { Ok } from "ts-results";
 
-/** Checks a body against its schema; all mistakes are named, no content is quoted. */
+/**
+ * Validates a body against a schema. The error lists the path and the kind of
+ * every problem, and never quotes content of the body.
+ *
+ * @returns the body with defaults filled in, or INVALID_FIELD
+ */
 export function checkBody<T>(
   schema: Joi.ObjectSchema<T>,
   body: unknown,
@@ -15,12 +20,12 @@
     errors: { wrap: { label: '"' } },
   });
   if (checked.error === undefined) return Ok(checked.value as T);
-  const mistakes = checked.error.details.map((detail) => {
+  const problems = checked.error.details.map((detail) => {
     const path = detail.path.length === 0 ? "body" : detail.path.join(".");
     return `${path}: ${detail.type}`;
   });
   return fail(
     RESULT_CODES.INVALID_FIELD,
-    `Not allowed: ${mistakes.join("; ")}`,
+    `Invalid body: ${problems.join("; ")}`,
   );
 }
--- a/packages/entry/src/http/create_server.ts
+++ b/packages/entry/src/http/create_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server, and how its own errors become result codes. */
+/** Creates the HTTP server and maps its own errors to result codes. */
 
 import { type Request, type ResponseToolkit, Server } from "@hapi/hapi";
 import {
@@ -18,7 +18,7 @@
   MEDIA_TYPE: 415,
 };
 
-/** What the server needs. */
+/** Options of {@linkcode createHttpServer}. */
 export interface HttpServerOptions {
   readonly host: string;
   readonly port: number;
@@ -27,13 +27,13 @@
   readonly metrics: Metrics;
 }
 
-interface HttpFault {
+interface BoomResponse {
   readonly isBoom?: boolean;
   readonly output?: { readonly statusCode: number };
   readonly message?: string;
 }
 
-/** Makes a server that answers every fault with a numbered result code. */
+/** Creates a server that answers each of its own errors with a result code. */
 export function createHttpServer(options: HttpServerOptions): Server {
   const server = new Server({
     host: options.host,
@@ -50,21 +50,21 @@
     },
   });
   server.ext("onPreResponse", (request: Request, toolkit: ResponseToolkit) => {
-    const response = request.response as HttpFault;
+    const response = request.response as BoomResponse;
     if (response.isBoom !== true) return toolkit.continue;
-    const code = findCode(response.output?.statusCode ?? 0);
+    const code = toResultCode(response.output?.statusCode ?? 0);
     countRefusal(options.metrics, "entry", code);
     if (code === RESULT_CODES.INTERNAL) {
       options.logger.error("Request failed inside", {
         message: response.message,
       });
     }
-    return answerError(toolkit, describeFault(code));
+    return answerError(toolkit, createResultError(code));
   });
   return server;
 }
 
-function findCode(status: number): ResultCode {
+function toResultCode(status: number): ResultCode {
   if (status === HTTP_STATUS.NOT_FOUND) return RESULT_CODES.ROUTE_NOT_FOUND;
   if (status === HTTP_STATUS.TOO_LARGE) return RESULT_CODES.BODY_TOO_LARGE;
   if (status === HTTP_STATUS.BAD_REQUEST) return RESULT_CODES.MALFORMED_JSON;
@@ -72,7 +72,10 @@
   return RESULT_CODES.INTERNAL;
 }
 
-/** The fault's own message may quote the caller's content, so it is not used. */
-function describeFault(code: ResultCode): CodedError {
+/**
+ * Creates an error with the meaning of its code as message, since the server's
+ * own message may quote content of the caller.
+ */
+function createResultError(code: ResultCode): CodedError {
   return { code, message: code.meaning };
 }
--- a/packages/entry/src/http/event_output.ts
+++ b/packages/entry/src/http/event_output.ts
@@ -1,30 +1,30 @@
-/** Server-sent events, written straight to the caller's connection. */
+/** Writes server-sent events directly to a caller's connection. */
 
 import type { ServerResponse } from "node:http";
 
 const HTTP_OK = 200;
 
 /**
- * Writes events to a response that the HTTP library no longer handles:
- * its stream layers took more time for each token than all the rest.
+ * Writes events to the Node.js response and bypasses the HTTP library, whose
+ * stream layers took more time per token than everything else together.
  */
-export class EventOutput {
+export class EventStreamWriter {
   readonly #response: ServerResponse;
-  #open = false;
+  #isOpen = false;
 
   constructor(response: ServerResponse) {
     this.#response = response;
   }
 
-  /** True once an event was written, and with it the status. */
+  /** True once the status and the first event have been written. */
   get isOpen(): boolean {
-    return this.#open;
+    return this.#isOpen;
   }
 
-  /** Writes one event. */
-  writeText(data: string): void {
-    if (!this.#open) {
-      this.#open = true;
+  /** Writes one event, preceded by the response header if it is the first. */
+  writeEvent(data: string): void {
+    if (!this.#isOpen) {
+      this.#isOpen = true;
       this.#response.writeHead(HTTP_OK, {
         "content-type": "text/event-stream",
         "cache-control": "no-cache",
--- a/packages/entry/src/mod.ts
+++ b/packages/entry/src/mod.ts
@@ -1,4 +1,4 @@
-/** The entry role. */
+/** The entry role, which serves HTTP to callers and operators. */
 
 export * from "./entry_role.ts";
 export * from "./owners/owner_directory.ts";
--- a/packages/entry/src/operators/check_operator.ts
+++ b/packages/entry/src/operators/check_operator.ts
@@ -1,17 +1,17 @@
-/** Checks that stand before every operator's request. */
+/** Checks that run before an operator's request is served. */
 
 import type { Request } from "@hapi/hapi";
 import { fail, type Outcome, RESULT_CODES } from "@mallowlift/core";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import { authenticateOperator } from "../http/authentication.ts";
 
-/** Checks that this entry is not leaving, and who asks. */
+/** Checks that this entry is not draining and authenticates the operator. */
 export function checkOperator(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
 ): Outcome<void> {
-  if (parts.isDraining()) {
-    return fail(RESULT_CODES.DRAINING, "This entry is leaving", 100);
+  if (context.isDraining()) {
+    return fail(RESULT_CODES.DRAINING, "This entry is draining", 100);
   }
-  return authenticateOperator(request, parts.operatorTokenSha256);
+  return authenticateOperator(request, context.operatorTokenSha256);
 }
--- a/packages/entry/src/operators/collect_status.ts
+++ b/packages/entry/src/operators/collect_status.ts
@@ -1,4 +1,4 @@
-/** Puts the status of the whole site together. */
+/** Collects the status of the whole site from its replicas. */
 
 import type {
   FollowerStatus,
@@ -6,15 +6,15 @@
   ReplicaStatus,
   SidecarStatus,
 } from "@mallowlift/core";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 
-const STATUS_MILLISECONDS = 1_000;
+const STATUS_TIMEOUT_MILLISECONDS = 1_000;
 
 /** Status of the whole site, for operators. */
 export interface SiteStatus {
   readonly revision: number;
   readonly replicas: readonly ReplicaSummary[];
-  /** Each group as its leader sees it. */
+  /** State of each group, as reported by its leader. */
   readonly groups: readonly GroupStatus[];
   readonly sidecars: readonly SidecarStatus[];
   /** Daemons that follow the configuration. */
@@ -22,7 +22,7 @@
   readonly refusals: readonly RefusalCount[];
 }
 
-/** One replica in short. */
+/** Summary of one replica. */
 export interface ReplicaSummary {
   readonly replicaId: string;
   readonly incarnation: string;
@@ -32,19 +32,24 @@
   readonly programs: number;
 }
 
-/** Refusals of this entry for one reason. */
+/** Number of requests that this entry has rejected for one reason. */
 export interface RefusalCount {
   readonly part: string;
   readonly reason: string;
   readonly count: number;
 }
 
-/** Asks every replica and puts the answers together. */
-export async function collectStatus(parts: EntryParts): Promise<SiteStatus> {
+/**
+ * Requests the status of every replica and merges the replies. Replicas that do
+ * not reply within the timeout are left out.
+ */
+export async function collectStatus(
+  context: EntryContext,
+): Promise<SiteStatus> {
   const answers = await Promise.all(
-    parts.owners.replicas.map((replica) =>
+    context.owners.replicas.map((replica) =>
       replica.call("replica.status", {}, {
-        timeoutMilliseconds: STATUS_MILLISECONDS,
+        timeoutMilliseconds: STATUS_TIMEOUT_MILLISECONDS,
       })
     ),
   );
@@ -58,16 +63,16 @@
   groups.sort((left, right) => left.group - right.group);
   return {
     revision: Math.max(-1, ...replicas.map((replica) => replica.revision)),
-    replicas: replicas.map(summarize),
+    replicas: replicas.map(summarizeReplica),
     groups,
     sidecars: replicas[0]?.sidecars ?? [],
     followers: replicas.flatMap((replica) => replica.followers)
       .filter((follower) => follower.daemonId !== ""),
-    refusals: await countRefusals(parts),
+    refusals: await readRefusalCounts(context),
   };
 }
 
-function summarize(replica: ReplicaStatus): ReplicaSummary {
+function summarizeReplica(replica: ReplicaStatus): ReplicaSummary {
   const leads = replica.groups.filter((group) => group.state === "leader")
     .map((group) => group.group);
   return {
@@ -80,10 +85,10 @@
   };
 }
 
-async function countRefusals(
-  parts: EntryParts,
+async function readRefusalCounts(
+  context: EntryContext,
 ): Promise<readonly RefusalCount[]> {
-  const metric = await parts.metrics.refusals.get();
+  const metric = await context.metrics.refusals.get();
   return metric.values.map((value) => ({
     part: String(value.labels.part),
     reason: String(value.labels.reason),
--- a/packages/entry/src/operators/operator_app.ts
+++ b/packages/entry/src/operators/operator_app.ts
@@ -1,7 +1,7 @@
-/** The operators' routes, in one place. */
+/** Routes of the HTTP interface for operators. */
 
 import type { Request, ResponseToolkit, ServerRoute } from "@hapi/hapi";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import {
   deleteResource,
   getResource,
@@ -10,14 +10,14 @@
 } from "./resource_handlers.ts";
 import { readStatus, watchResources } from "./site_handlers.ts";
 
-/** Lists the routes that operators use. */
+/** Creates the routes that operators use. */
 export function createOperatorRoutes(
-  parts: EntryParts,
+  context: EntryContext,
 ): readonly ServerRoute[] {
   const serve =
     (handler: typeof getResource) =>
     (request: Request, toolkit: ResponseToolkit) =>
-      handler(parts, request, toolkit);
+      handler(context, request, toolkit);
   const resource = "/v1/resources/{kind}/{name}";
   return [
     {
--- a/packages/entry/src/operators/poll_configuration.ts
+++ b/packages/entry/src/operators/poll_configuration.ts
@@ -1,20 +1,23 @@
-/** Reads the configuration from its owner. */
+/** Polls the owner of the configuration for changes. */
 
 import { type ConfigurationUpdate, type Outcome } from "@mallowlift/core";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 
-/** Group that holds the configuration. */
+/** Number of the group that stores the configuration. */
 export const CONFIGURATION_GROUP = 0;
-/** Longest wait for an answer that needs no change to happen first, ms. */
-export const SHORT_CALL_MILLISECONDS = 5_000;
+/** Timeout for a request that the owner does not hold back, ms. */
+export const ANSWER_TIMEOUT_MILLISECONDS = 5_000;
 
-/** Asks for the changes after a revision; -1 asks for everything. */
+/**
+ * Requests the changes after a revision, or all resources if it is -1. If there
+ * is no change, the owner holds the request for up to `holdMilliseconds`.
+ */
 export async function pollConfiguration(
-  parts: EntryParts,
+  context: EntryContext,
   revision: number,
   holdMilliseconds: number,
 ): Promise<Outcome<ConfigurationUpdate>> {
-  return await parts.owners.call(CONFIGURATION_GROUP, {
+  return await context.owners.call(CONFIGURATION_GROUP, {
     name: "configuration.poll",
     createRequest: () => ({
       daemonId: "",
@@ -22,5 +25,5 @@
       revision,
       holdMilliseconds,
     }),
-  }, { timeoutMilliseconds: SHORT_CALL_MILLISECONDS + holdMilliseconds });
+  }, { timeoutMilliseconds: ANSWER_TIMEOUT_MILLISECONDS + holdMilliseconds });
 }
--- a/packages/entry/src/operators/resource_handlers.ts
+++ b/packages/entry/src/operators/resource_handlers.ts
@@ -1,4 +1,4 @@
-/** The work behind the operators' routes of resources. */
+/** Handlers of the operators' routes that read and write resources. */
 
 import type { Request, ResponseObject, ResponseToolkit } from "@hapi/hapi";
 import {
@@ -18,17 +18,17 @@
 } from "@mallowlift/core";
 import Joi from "joi";
 import { Ok } from "ts-results";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import { answerError, answerValue, refuse } from "../http/answer.ts";
 import { checkBody } from "../http/check_body.ts";
 import { checkOperator } from "./check_operator.ts";
 import {
+  ANSWER_TIMEOUT_MILLISECONDS,
   CONFIGURATION_GROUP,
   pollConfiguration,
-  SHORT_CALL_MILLISECONDS,
 } from "./poll_configuration.ts";
 
-/** Body that writes a resource. */
+/** Body of a request that writes a resource. */
 interface PutResourceBody {
   readonly order_id: string;
   readonly version: number;
@@ -48,59 +48,63 @@
   readonly name: string;
 }
 
-/** Lists the resources of a kind, from a quorum. */
+/**
+ * Lists the resources of a kind. The leader confirms its leadership with a
+ * quorum before it answers.
+ */
 export async function listResources(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const kind = checkKind(parts, request);
-  if (kind.err) return refuse(parts, toolkit, kind.val);
-  const whole = await readWhole(parts);
-  if (whole.err) return answerError(toolkit, whole.val, "owner");
-  const resources = whole.val.resources.filter((resource) =>
+  const kind = checkKindRequest(context, request);
+  if (kind.err) return refuse(context, toolkit, kind.val);
+  const all = await readAllResources(context);
+  if (all.err) return answerError(toolkit, all.val, "owner");
+  const resources = all.val.resources.filter((resource) =>
     resource.kind === kind.val
   );
-  return answerValue(toolkit, { revision: whole.val.revision, resources });
+  return answerValue(toolkit, { revision: all.val.revision, resources });
 }
 
-/** Reads one resource, from a quorum. */
+/**
+ * Reads one resource. The leader confirms its leadership with a quorum before
+ * it answers.
+ */
 export async function getResource(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const name = checkName(parts, request);
-  if (name.err) return refuse(parts, toolkit, name.val);
-  const whole = await readWhole(parts);
-  if (whole.err) return answerError(toolkit, whole.val, "owner");
-  const resource = whole.val.resources.find((known) =>
-    isNamed(known, name.val)
-  );
+  const name = checkResourceRequest(context, request);
+  if (name.err) return refuse(context, toolkit, name.val);
+  const all = await readAllResources(context);
+  if (all.err) return answerError(toolkit, all.val, "owner");
+  const resource = all.val.resources.find((known) => hasName(known, name.val));
   if (resource !== undefined) return answerValue(toolkit, resource);
-  const message = "There is no such resource";
-  return refuse(parts, toolkit, {
+  const message = "Resource not found";
+  return refuse(context, toolkit, {
     code: RESULT_CODES.RESOURCE_NOT_FOUND,
     message,
   });
 }
 
-/** Writes a resource. */
+/** Creates or replaces a resource if its version is the expected one. */
 export async function putResource(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const name = checkName(parts, request);
-  if (name.err) return refuse(parts, toolkit, name.val);
+  const name = checkResourceRequest(context, request);
+  if (name.err) return refuse(context, toolkit, name.val);
   const body = checkBody(PUT_RESOURCE_SCHEMA, request.payload);
-  if (body.err) return refuse(parts, toolkit, body.val);
+  if (body.err) return refuse(context, toolkit, body.val);
   const spec: Outcome<ResourceSpecs[ResourceKind]> = checkSpec(
     name.val.kind,
     body.val.spec,
   );
-  if (spec.err) return refuse(parts, toolkit, spec.val);
-  return await sendOrder(parts, toolkit, {
+  if (spec.err) return refuse(context, toolkit, spec.val);
+  return await sendOrder(context, toolkit, {
     ...name.val,
     orderId: body.val.order_id,
     expectedVersion: body.val.version,
@@ -108,74 +112,80 @@
   });
 }
 
-/** Deletes a resource. */
+/** Deletes a resource if its version is the expected one. */
 export async function deleteResource(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const name = checkName(parts, request);
-  if (name.err) return refuse(parts, toolkit, name.val);
+  const name = checkResourceRequest(context, request);
+  if (name.err) return refuse(context, toolkit, name.val);
   const version = Number(request.query.version);
   const order = orderId.required().validate(request.query.order_id);
   if (
     !Number.isSafeInteger(version) || version < 1 || order.error !== undefined
   ) {
-    const message = "Not allowed: version and order_id are required";
-    return refuse(parts, toolkit, {
+    const message = "Query parameters version and order_id are required";
+    return refuse(context, toolkit, {
       code: RESULT_CODES.INVALID_FIELD,
       message,
     });
   }
-  return await sendOrder(parts, toolkit, {
+  return await sendOrder(context, toolkit, {
     ...name.val,
     orderId: String(request.query.order_id),
     expectedVersion: version,
   });
 }
 
-async function readWhole(
-  parts: EntryParts,
+async function readAllResources(
+  context: EntryContext,
 ): Promise<Outcome<ConfigurationUpdate>> {
-  return await pollConfiguration(parts, -1, 0);
+  return await pollConfiguration(context, -1, 0);
 }
 
 async function sendOrder(
-  parts: EntryParts,
+  context: EntryContext,
   toolkit: ResponseToolkit,
   order: ResourceOrder,
 ): Promise<ResponseObject> {
-  const result = await parts.owners.call(CONFIGURATION_GROUP, {
+  const result = await context.owners.call(CONFIGURATION_GROUP, {
     name: "configuration.order",
     createRequest: () => order,
-  }, { timeoutMilliseconds: SHORT_CALL_MILLISECONDS });
+  }, { timeoutMilliseconds: ANSWER_TIMEOUT_MILLISECONDS });
   if (result.err) return answerError(toolkit, result.val, "owner");
   const { kind, name } = order;
   return answerValue(toolkit, { kind, name, ...result.val });
 }
 
-function checkKind(parts: EntryParts, request: Request): Outcome<ResourceKind> {
-  const allowed = checkOperator(parts, request);
+function checkKindRequest(
+  context: EntryContext,
+  request: Request,
+): Outcome<ResourceKind> {
+  const allowed = checkOperator(context, request);
   if (allowed.err) return allowed;
   const kind = findResourceKind(String(request.params.kind));
   if (kind !== undefined) return Ok(kind);
   return fail(
     RESULT_CODES.RESOURCE_NOT_FOUND,
-    "There is no such kind of resource",
+    "Unknown kind of resource",
   );
 }
 
-function checkName(parts: EntryParts, request: Request): Outcome<ResourceName> {
-  const kind = checkKind(parts, request);
+function checkResourceRequest(
+  context: EntryContext,
+  request: Request,
+): Outcome<ResourceName> {
+  const kind = checkKindRequest(context, request);
   if (kind.err) return kind;
   const name = String(request.params.name);
   if (isResourceName(name)) return Ok({ kind: kind.val, name });
   return fail(
     RESULT_CODES.INVALID_FIELD,
-    "Not allowed: the name of the resource",
+    "The resource name is invalid",
   );
 }
 
-function isNamed(resource: Resource, name: ResourceName): boolean {
+function hasName(resource: Resource, name: ResourceName): boolean {
   return resource.kind === name.kind && resource.name === name.name;
 }
--- a/packages/entry/src/operators/site_handlers.ts
+++ b/packages/entry/src/operators/site_handlers.ts
@@ -1,4 +1,4 @@
-/** The work behind the operators' routes of the whole site: watch and status. */
+/** Handlers of the operators' routes that watch resources and read the status. */
 
 import { PassThrough } from "node:stream";
 import type { Request, ResponseObject, ResponseToolkit } from "@hapi/hapi";
@@ -7,7 +7,7 @@
   type ConfigurationUpdate,
   RESULT_CODES,
 } from "@mallowlift/core";
-import type { EntryParts } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_parts.ts";
 import {
   answerError,
   answerValue,
@@ -18,58 +18,63 @@
 import { collectStatus } from "./collect_status.ts";
 import { pollConfiguration } from "./poll_configuration.ts";
 
-/** How long the owner holds a request for changes, ms; a sign of life comes as often. */
-const WATCH_HOLD_MILLISECONDS = 5_000;
+/** Longest time that the owner holds a poll, ms; also the keep-alive interval. */
+const POLL_HOLD_MILLISECONDS = 5_000;
 
-/** Streams every change after a revision. */
+/** Streams every change after a revision as server-sent events. */
 export async function watchResources(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const allowed = checkOperator(parts, request);
-  if (allowed.err) return refuse(parts, toolkit, allowed.val);
+  const allowed = checkOperator(context, request);
+  if (allowed.err) return refuse(context, toolkit, allowed.val);
   const from = Number(request.query.from_revision ?? 0);
   if (!Number.isSafeInteger(from) || from < 0) {
-    const message = "Not allowed: from_revision must be a whole number from 0";
-    return refuse(parts, toolkit, {
+    const message =
+      "Query parameter from_revision must be an integer of at least 0";
+    return refuse(context, toolkit, {
       code: RESULT_CODES.INVALID_FIELD,
       message,
     });
   }
-  const first = await pollConfiguration(parts, from, 0);
+  const first = await pollConfiguration(context, from, 0);
   if (first.err) return answerError(toolkit, first.val, "owner");
   if (first.val.whole) {
     const message =
-      "Changes after this revision are no longer all kept; list and watch again";
-    return refuse(parts, toolkit, {
+      "Some changes after this revision were discarded; list the resources and watch again";
+    return refuse(context, toolkit, {
       code: RESULT_CODES.REVISION_GONE,
       message,
     });
   }
   const output = new PassThrough();
-  const gone = new AbortController();
-  request.raw.res.once("close", () => gone.abort(ABORTED));
-  void sendChanges(parts, { first: first.val, output, signal: gone.signal });
+  const disconnected = new AbortController();
+  request.raw.res.once("close", () => disconnected.abort(ABORTED));
+  void sendChanges(context, {
+    first: first.val,
+    output,
+    signal: disconnected.signal,
+  });
   return toolkit.response(output).type("text/event-stream").header(
     "cache-control",
     "no-cache",
   );
 }
 
-/** Describes the whole site. */
+/** Answers with the status of the whole site. */
 export async function readStatus(
-  parts: EntryParts,
+  context: EntryContext,
   request: Request,
   toolkit: ResponseToolkit,
 ): Promise<ResponseObject> {
-  const allowed = checkOperator(parts, request);
-  if (allowed.err) return refuse(parts, toolkit, allowed.val);
-  return answerValue(toolkit, await collectStatus(parts));
+  const allowed = checkOperator(context, request);
+  if (allowed.err) return refuse(context, toolkit, allowed.val);
+  return answerValue(toolkit, await collectStatus(context));
 }
 
 async function sendChanges(
-  parts: EntryParts,
+  context: EntryContext,
   options: {
     readonly first: ConfigurationUpdate;
     readonly output: PassThrough;
@@ -83,16 +88,16 @@
     for (const change of update.changes) {
       output.write(`data: ${JSON.stringify(change)}\n\n`);
     }
-    // A comment shows the watcher that the stream is alive.
+    // A comment line without data keeps the stream alive.
     if (update.changes.length === 0) {
       output.write(`: revision ${update.revision}\n\n`);
     }
     revision = update.revision;
-    if (signal.aborted || parts.isDraining()) break;
+    if (signal.aborted || context.isDraining()) break;
     const next = await pollConfiguration(
-      parts,
+      context,
       revision,
-      WATCH_HOLD_MILLISECONDS,
+      POLL_HOLD_MILLISECONDS,
     );
     if (next.err) {
       output.write(
--- a/packages/entry/src/owners/owner_directory.ts
+++ b/packages/entry/src/owners/owner_directory.ts
@@ -1,4 +1,4 @@
-/** Finds the leader of a group, and asks again when there is a new one. */
+/** Finds the leader of each group and retries requests when it changes. */
 
 import {
   fail,
@@ -12,11 +12,11 @@
 } from "@mallowlift/core";
 import type { Caller, CallOptions } from "@mallowlift/transport";
 
-const ASK_AGAIN_MILLISECONDS = 30;
+const RETRY_DELAY_MILLISECONDS = 30;
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
-/** Answers after which another replica may lead. */
-const LOOK_ON: readonly ResultCode[] = [
+/** Result codes after which another replica may be the leader. */
+const NEXT_REPLICA_CODES: readonly ResultCode[] = [
   RESULT_CODES.NOT_LEADER,
   RESULT_CODES.LEADERSHIP_LOST,
   RESULT_CODES.NOT_CONNECTED,
@@ -24,13 +24,13 @@
   RESULT_CODES.TIMEOUT,
 ];
 
-/** Answers after which the request has certainly not been taken up. */
-const NOT_TAKEN: readonly ResultCode[] = [
+/** Result codes that rule out that the replica accepted the request. */
+const NOT_ACCEPTED_CODES: readonly ResultCode[] = [
   RESULT_CODES.NOT_LEADER,
   RESULT_CODES.NOT_CONNECTED,
 ];
 
-/** Remembers which replica led each group. */
+/** Caches which replica leads each group and forwards requests to it. */
 export class OwnerDirectory {
   readonly #replicas: readonly Caller[];
   readonly #waitMilliseconds: number;
@@ -52,11 +52,11 @@
   }
 
   /**
-   * Calls the leader of a group. Every method called this way is idempotent
-   * by an id in its request, so it may be sent again to the next leader.
+   * Calls the leader of a group. Every method called this way is idempotent by
+   * an id in its request, so the request can be retried at the next leader.
    *
-   * @returns NO_LEADER if nobody took the request up, OWNER_LOST if somebody
-   * may have
+   * @returns NO_LEADER if no replica accepted the request, OWNER_LOST if one may
+   * have
    */
   async call<N extends HandlerName>(
     group: number,
@@ -66,11 +66,11 @@
     },
     options: CallOptions<N>,
   ): Promise<Outcome<InternalHandlers[N]["reply"]>> {
-    let lookingSince = Date.now();
-    let mayBeTaken = false;
-    let position = this.#leaders.get(group) ?? group;
-    while (Date.now() - lookingSince < this.#waitMilliseconds) {
-      const replica = this.#replicas[position % this.#replicas.length];
+    let searchStartedAt = Date.now();
+    let mayBeAccepted = false;
+    let replicaIndex = this.#leaders.get(group) ?? group;
+    while (Date.now() - searchStartedAt < this.#waitMilliseconds) {
+      const replica = this.#replicas[replicaIndex % this.#replicas.length];
       if (replica === undefined) break;
       const sentAt = Date.now();
       const outcome = await replica.call(
@@ -78,25 +78,26 @@
         message.createRequest(),
         options,
       );
-      if (outcome.ok || !LOOK_ON.includes(outcome.val.code)) {
-        this.#leaders.set(group, position);
+      if (outcome.ok || !NEXT_REPLICA_CODES.includes(outcome.val.code)) {
+        this.#leaders.set(group, replicaIndex);
         return outcome;
       }
       if (options.signal?.aborted) break;
       const code = outcome.val.code;
       this.#metrics.retries.inc({ part: "entry", reason: code.name });
-      if (!NOT_TAKEN.includes(code)) mayBeTaken = true;
-      // A leader that held the request for long was found, so the search starts anew.
+      if (!NOT_ACCEPTED_CODES.includes(code)) mayBeAccepted = true;
+      // A replica that held the request this long was the leader, so the time
+      // of the search starts again.
       if (Date.now() - sentAt > this.#waitMilliseconds) {
-        lookingSince = Date.now();
+        searchStartedAt = Date.now();
       }
-      position++;
-      await sleep(ASK_AGAIN_MILLISECONDS, options.signal);
+      replicaIndex++;
+      await sleep(RETRY_DELAY_MILLISECONDS, options.signal);
     }
-    if (mayBeTaken) {
+    if (mayBeAccepted) {
       return fail(
         RESULT_CODES.OWNER_LOST,
-        "The owner was lost while it had the request",
+        "The owner was lost after it may have accepted the request",
         RETRY_AFTER_MILLISECONDS,
       );
     }
