--- a/packages/entry/src/callers/call_handlers.ts
+++ b/packages/entry/src/callers/call_handlers.ts
@@ -2,7 +2,7 @@
 
 import type { Request, ResponseObject, ResponseToolkit } from "@hapi/hapi";
 import { RESULT_CODES } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { answerError, answerValue, refuse } from "../http/answer.ts";
 import {
   createModelAnswerBody,
--- a/packages/entry/src/callers/caller_app.ts
+++ b/packages/entry/src/callers/caller_routes.ts
@@ -1,7 +1,7 @@
 /** Routes of the HTTP interface for callers. */
 
 import type { Request, ResponseToolkit, ServerRoute } from "@hapi/hapi";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { callModel, callService } from "./call_handlers.ts";
 import {
   createChild,
--- a/packages/entry/src/callers/check_caller.ts
+++ b/packages/entry/src/callers/check_caller.ts
@@ -5,7 +5,7 @@
 import { fail, type Outcome, RESULT_CODES } from "@mallowlift/core";
 import type Joi from "joi";
 import { Ok } from "ts-results";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { authenticateOutfit } from "../http/authentication.ts";
 import { checkBody } from "../http/check_body.ts";
 
--- a/packages/entry/src/callers/program_handlers.ts
+++ b/packages/entry/src/callers/program_handlers.ts
@@ -15,7 +15,7 @@
   serializeStable,
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { answerError, answerValue, refuse } from "../http/answer.ts";
 import { authenticateOutfit } from "../http/authentication.ts";
 import { checkBody } from "../http/check_body.ts";
--- a/packages/entry/src/callers/run_call.ts
+++ b/packages/entry/src/callers/run_call.ts
@@ -9,7 +9,7 @@
   RESULT_CODES,
   type RunCallReply,
 } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { answerError } from "../http/answer.ts";
 import type { StreamFollower } from "./follow_stream.ts";
 
--- a/packages/entry/src/callers/stream_call.ts
+++ b/packages/entry/src/callers/stream_call.ts
@@ -7,9 +7,9 @@
   RESULT_CODES,
   type RunCallReply,
 } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { createErrorBody } from "../http/answer.ts";
-import { EventStreamWriter } from "../http/event_output.ts";
+import { EventStreamWriter } from "../http/event_stream_writer.ts";
 import { createModelAnswerBody, findRecordedFailure } from "./call_answers.ts";
 import {
   DELIVERY_REPORT_TIMEOUT_MILLISECONDS,
--- a/packages/entry/src/entry_role.ts
+++ b/packages/entry/src/entry_role.ts
@@ -11,10 +11,10 @@
   type Settings,
 } from "@mallowlift/core";
 import { parseAddress, type PeerLinks } from "@mallowlift/transport";
-import { createCallerRoutes } from "./callers/caller_app.ts";
-import type { EntryContext } from "./entry_parts.ts";
+import { createCallerRoutes } from "./callers/caller_routes.ts";
+import type { EntryContext } from "./entry_context.ts";
 import { createHttpServer } from "./http/create_server.ts";
-import { createOperatorRoutes } from "./operators/operator_app.ts";
+import { createOperatorRoutes } from "./operators/operator_routes.ts";
 import { OwnerDirectory } from "./owners/owner_directory.ts";
 
 const POLL_HOLD_MILLISECONDS = 1_000;
--- a/packages/entry/src/operators/check_operator.ts
+++ b/packages/entry/src/operators/check_operator.ts
@@ -2,7 +2,7 @@
 
 import type { Request } from "@hapi/hapi";
 import { fail, type Outcome, RESULT_CODES } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { authenticateOperator } from "../http/authentication.ts";
 
 /** Checks that this entry is not draining and authenticates the operator. */
--- a/packages/entry/src/operators/collect_status.ts
+++ b/packages/entry/src/operators/collect_status.ts
@@ -6,7 +6,7 @@
   ReplicaStatus,
   SidecarStatus,
 } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 
 const STATUS_TIMEOUT_MILLISECONDS = 1_000;
 
--- a/packages/entry/src/operators/operator_app.ts
+++ b/packages/entry/src/operators/operator_routes.ts
@@ -1,7 +1,7 @@
 /** Routes of the HTTP interface for operators. */
 
 import type { Request, ResponseToolkit, ServerRoute } from "@hapi/hapi";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import {
   deleteResource,
   getResource,
--- a/packages/entry/src/operators/poll_configuration.ts
+++ b/packages/entry/src/operators/poll_configuration.ts
@@ -1,7 +1,7 @@
 /** Polls the owner of the configuration for changes. */
 
 import { type ConfigurationUpdate, type Outcome } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 
 /** Number of the group that stores the configuration. */
 export const CONFIGURATION_GROUP = 0;
--- a/packages/entry/src/operators/resource_handlers.ts
+++ b/packages/entry/src/operators/resource_handlers.ts
@@ -18,7 +18,7 @@
 } from "@mallowlift/core";
 import Joi from "joi";
 import { Ok } from "ts-results";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { answerError, answerValue, refuse } from "../http/answer.ts";
 import { checkBody } from "../http/check_body.ts";
 import { checkOperator } from "./check_operator.ts";
--- a/packages/entry/src/operators/site_handlers.ts
+++ b/packages/entry/src/operators/site_handlers.ts
@@ -7,7 +7,7 @@
   type ConfigurationUpdate,
   RESULT_CODES,
 } from "@mallowlift/core";
-import type { EntryContext } from "../entry_parts.ts";
+import type { EntryContext } from "../entry_context.ts";
 import {
   answerError,
   answerValue,
