--- a/packages/sidecar/src/attempts/admission.ts
+++ b/packages/sidecar/src/attempts/admission.ts
@@ -1,4 +1,7 @@
-/** Slots of the upstream, and the bounded queue before them. */
+/**
+ * Admission control for one upstream: a fixed number of slots and a bounded
+ * queue in front of them.
+ */
 
 import { createDeferred, type Deferred } from "@mallowlift/core";
 import type { QueueOrder, WaitingCall } from "@mallowlift/scheduling";
@@ -7,72 +10,76 @@
   readonly turn: Deferred<boolean>;
 }
 
-/** How many calls run and wait. */
+/** Limits of running and queued calls. */
 export interface AdmissionLimits {
   readonly slots: number;
   readonly queueLimit: number;
 }
 
-/** Hands out slots in the order of a policy. */
+/** Grants slots to queued calls in the order of a scheduling policy. */
 export class Admission {
   readonly #limits: AdmissionLimits;
   readonly #order: QueueOrder;
   readonly #waiting: Waiter[] = [];
   #running = 0;
-  /** Smoothed time that a call holds its slot. */
-  #holdMilliseconds = 200;
+  /** Moving average of the time that a call holds its slot. */
+  #averageHoldMilliseconds = 200;
 
   constructor(limits: AdmissionLimits, order: QueueOrder) {
     this.#limits = limits;
     this.#order = order;
   }
 
-  /** Calls that hold a slot. */
+  /** Number of calls that hold a slot. */
   get running(): number {
     return this.#running;
   }
 
-  /** Calls that wait for one. */
+  /** Number of calls that wait for a slot. */
   get queued(): number {
     return this.#waiting.length;
   }
 
-  /** True if the next call would be refused. */
+  /** True if the slots and the queue are full, so the next call is rejected. */
   get isFull(): boolean {
     return this.#running >= this.#limits.slots &&
       this.#waiting.length >= this.#limits.queueLimit;
   }
 
-  /** When a refused call should come back, from the work in front. */
+  /**
+   * Estimates after how many milliseconds a rejected call should be retried,
+   * from the queue length and the average time that a call holds a slot.
+   */
   estimateRetryMilliseconds(): number {
     const rounds = (this.#waiting.length + 1) / this.#limits.slots;
-    return Math.ceil(Math.max(50, rounds * this.#holdMilliseconds));
+    return Math.ceil(Math.max(50, rounds * this.#averageHoldMilliseconds));
   }
 
-  /** Waits for a slot; false if the call was cancelled meanwhile. */
-  async enter(call: WaitingCall, signal: AbortSignal): Promise<boolean> {
+  /** Waits for a slot; returns false if the call is cancelled while queued. */
+  async acquire(call: WaitingCall, signal: AbortSignal): Promise<boolean> {
     if (this.#running < this.#limits.slots) {
       this.#running++;
       return true;
     }
     const waiter: Waiter = { ...call, turn: createDeferred<boolean>() };
     this.#waiting.push(waiter);
-    const leave = () => {
+    const dequeue = () => {
       const position = this.#waiting.indexOf(waiter);
       if (position < 0) return;
       this.#waiting.splice(position, 1);
       waiter.turn.resolve(false);
     };
-    signal.addEventListener("abort", leave, { once: true });
-    if (signal.aborted) leave();
-    const entered = await waiter.turn.promise;
-    signal.removeEventListener("abort", leave);
-    return entered;
+    signal.addEventListener("abort", dequeue, { once: true });
+    if (signal.aborted) dequeue();
+    const isAdmitted = await waiter.turn.promise;
+    signal.removeEventListener("abort", dequeue);
+    return isAdmitted;
   }
 
-  /** Gives a slot back, and on to whoever is next. */
-  leave(now: number, enteredAt: number): void {
-    this.#holdMilliseconds += (now - enteredAt - this.#holdMilliseconds) / 16;
+  /** Releases a slot and grants it to the next queued call, if there is one. */
+  release(now: number, acquiredAt: number): void {
+    this.#averageHoldMilliseconds +=
+      (now - acquiredAt - this.#averageHoldMilliseconds) / 16;
     this.#running--;
     if (this.#waiting.length === 0) return;
     const position = this.#order.choose(this.#waiting, now);
--- a/packages/sidecar/src/attempts/attempt.ts
+++ b/packages/sidecar/src/attempts/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at a sidecar, from its arrival until its answer is forgotten. */
+/** State of one attempt at a sidecar, from its arrival until it is evicted. */
 
 import {
   ABORTED,
@@ -10,14 +10,14 @@
   WakeSignal,
 } from "@mallowlift/core";
 
-/** An attempt, its text so far and its end. */
+/** An attempt with the text received so far and, once it ended, its outcome. */
 export class Attempt {
   readonly request: DispatchRequest;
   readonly arrivedAt: number;
-  readonly #cancelled = new AbortController();
+  readonly #cancellation = new AbortController();
   readonly #done: Deferred<Outcome<Answer>> = createDeferred<Outcome<Answer>>();
-  readonly #grown = new WakeSignal();
-  /** Text that the caller may be told. */
+  readonly #progress = new WakeSignal();
+  /** Text that may be sent to the caller. */
   text: string;
   outcome: Outcome<Answer> | undefined;
   endedAt = Infinity;
@@ -30,35 +30,35 @@
 
   /** Aborts when the attempt is cancelled. */
   get signal(): AbortSignal {
-    return this.#cancelled.signal;
+    return this.#cancellation.signal;
   }
 
-  /** Resolves with the end of the attempt. */
+  /** Resolves with the outcome when the attempt ends. */
   get done(): Promise<Outcome<Answer>> {
     return this.#done.promise;
   }
 
-  /** Takes more text from the upstream. */
-  addText(text: string): void {
+  /** Appends text from the upstream and wakes the waiters. */
+  appendText(text: string): void {
     this.text += text;
-    this.#grown.wake();
+    this.#progress.wake();
   }
 
-  /** Waits until there is more text or an end. */
-  async waitForGrowth(limitMilliseconds: number): Promise<void> {
-    await this.#grown.wait(limitMilliseconds);
+  /** Waits until text is appended, the attempt ends or the timeout passes. */
+  async waitForProgress(timeoutMilliseconds: number): Promise<void> {
+    await this.#progress.wait(timeoutMilliseconds);
   }
 
-  /** Cancels the attempt; it still ends by itself. */
+  /** Requests cancellation; the attempt ends later, when its run returns. */
   cancel(): void {
-    this.#cancelled.abort(ABORTED);
+    this.#cancellation.abort(ABORTED);
   }
 
-  /** Records the end. */
+  /** Records the outcome and the time at which the attempt ended. */
   end(outcome: Outcome<Answer>, now: number): void {
     this.outcome = outcome;
     this.endedAt = now;
     this.#done.resolve(outcome);
-    this.#grown.wake();
+    this.#progress.wake();
   }
 }
--- a/packages/sidecar/src/attempts/attempt_table.ts
+++ b/packages/sidecar/src/attempts/attempt_table.ts
@@ -1,4 +1,7 @@
-/** All attempts that a sidecar knows, and the rules by which one may run. */
+/**
+ * The table of attempts at a sidecar. It deduplicates dispatches, fences stale
+ * ones and decides whether an attempt may run.
+ */
 
 import {
   type Answer,
@@ -22,9 +25,9 @@
 import { Attempt } from "./attempt.ts";
 import { Fence } from "./fence.ts";
 
-const DRAINED_RETRY_MILLISECONDS = 1_000;
+const DRAINING_RETRY_MILLISECONDS = 1_000;
 
-/** What the table needs. */
+/** Options of {@linkcode AttemptTable}. */
 export interface AttemptTableOptions {
   readonly bootId: string;
   readonly admission: Admission;
@@ -34,7 +37,7 @@
   readonly metrics: Metrics;
 }
 
-/** Attempts by key. */
+/** Runs attempts and keeps them by key until they expire. */
 export class AttemptTable {
   readonly #options: AttemptTableOptions;
   readonly #attempts = new Map<string, Attempt>();
@@ -45,21 +48,21 @@
     this.#options = options;
   }
 
-  /** True once the upstream is leaving. */
+  /** True while the sidecar rejects new attempts. */
   get isDraining(): boolean {
     return this.#draining;
   }
 
-  /** Attempts that have not ended. */
-  get openCount(): number {
-    let open = 0;
+  /** Number of attempts that have not ended. */
+  get pendingCount(): number {
+    let pending = 0;
     for (const attempt of this.#attempts.values()) {
-      if (attempt.outcome === undefined) open++;
+      if (attempt.outcome === undefined) pending++;
     }
-    return open;
+    return pending;
   }
 
-  /** Refuses new work from now on, or takes it again. */
+  /** Starts or stops rejecting new attempts. */
   setDraining(draining: boolean): void {
     if (this.#draining !== draining) {
       this.#options.logger.info(draining ? "Draining" : "Taking work again");
@@ -67,7 +70,10 @@
     this.#draining = draining;
   }
 
-  /** Runs an attempt and returns its end; the same attempt again joins the first. */
+  /**
+   * Runs an attempt and returns its outcome. A repeated dispatch of an attempt
+   * waits for the outcome of the first one and does not run it again.
+   */
   async dispatch(
     request: DispatchRequest,
     now: number,
@@ -80,18 +86,19 @@
     return await admitted.val.done;
   }
 
-  /** Returns an attempt that may still be on its way here. */
+  /** Returns a known attempt; undefined if its dispatch has not arrived. */
   find(key: AttemptKey): Attempt | undefined {
     return this.#attempts.get(formatAttemptKey(key));
   }
 
   /**
-   * Tells an owner what became of an attempt. One that was never seen is
-   * fenced first, so that "never ran" stays true.
+   * Returns the state of an attempt to its owner. An unknown attempt is fenced
+   * first: a dispatch that arrives later must not run after "never_ran" was
+   * reported.
    */
   recover(request: RecoverRequest, now: number): Outcome<AttemptState> {
-    if (!this.#fence.admitTerm(request.key.group, request.term)) {
-      return this.#refuseTerm();
+    if (!this.#fence.acceptTerm(request.key.group, request.term)) {
+      return this.#rejectTerm();
     }
     if (request.bootId !== this.#options.bootId) {
       return Ok({ state: "outcome_unknown" });
@@ -106,48 +113,51 @@
     });
   }
 
-  /** Waits for the end of a known attempt. */
+  /** Waits for the outcome of a known attempt. */
   async waitForEnd(request: RecoverRequest): Promise<Outcome<Answer>> {
-    if (!this.#fence.admitTerm(request.key.group, request.term)) {
-      return this.#refuseTerm();
+    if (!this.#fence.acceptTerm(request.key.group, request.term)) {
+      return this.#rejectTerm();
     }
     const attempt = this.find(request.key);
     if (attempt === undefined || request.bootId !== this.#options.bootId) {
       return fail(
         RESULT_CODES.UNKNOWN_ATTEMPT,
-        "The attempt is not known here",
+        "The attempt is unknown at this sidecar",
       );
     }
     return await attempt.done;
   }
 
-  /** Cancels an attempt, if its owner still leads. */
+  /**
+   * Cancels and fences an attempt; rejects a request with a term older than
+   * the highest one of the group.
+   */
   cancel(request: RecoverRequest, now: number): Outcome<Record<string, never>> {
-    if (!this.#fence.admitTerm(request.key.group, request.term)) {
-      return this.#refuseTerm();
+    if (!this.#fence.acceptTerm(request.key.group, request.term)) {
+      return this.#rejectTerm();
     }
     this.#fence.fence(request.key, now);
     this.find(request.key)?.cancel();
     return Ok({});
   }
 
-  /** Forgets old answers and fences. */
-  forgetOld(now: number): void {
-    const before = now - this.#options.keepMilliseconds;
+  /** Evicts expired attempts and fences. */
+  evictExpired(now: number): void {
+    const cutoff = now - this.#options.keepMilliseconds;
     for (const [key, attempt] of this.#attempts) {
-      if (attempt.endedAt < before) this.#attempts.delete(key);
+      if (attempt.endedAt < cutoff) this.#attempts.delete(key);
     }
-    this.#fence.forgetBefore(before);
+    this.#fence.evictBefore(cutoff);
   }
 
   #admit(request: DispatchRequest, now: number): Outcome<Attempt> {
     const { key, term } = request;
-    if (!this.#fence.admitTerm(key.group, term)) return this.#refuseTerm();
+    if (!this.#fence.acceptTerm(key.group, term)) return this.#rejectTerm();
     if (request.bootId !== this.#options.bootId) {
       return fail(RESULT_CODES.NO_UPSTREAM, "The sidecar has restarted");
     }
     const known = this.find(key);
-    if (known !== undefined && !isReplaced(known, request)) return Ok(known);
+    if (known !== undefined && !isSuperseded(known, request)) return Ok(known);
     known?.cancel();
     if (this.#fence.isFenced(key)) {
       return fail(RESULT_CODES.STALE_TERM, "The attempt was fenced");
@@ -155,14 +165,18 @@
     if (this.#draining) {
       return fail(
         RESULT_CODES.DRAINING,
-        "The upstream is leaving",
-        DRAINED_RETRY_MILLISECONDS,
+        "The upstream is draining",
+        DRAINING_RETRY_MILLISECONDS,
       );
     }
     const admission = this.#options.admission;
     if (admission.isFull) {
       const retry = admission.estimateRetryMilliseconds();
-      return fail(RESULT_CODES.QUEUE_FULL, "The queue is full", retry);
+      return fail(
+        RESULT_CODES.QUEUE_FULL,
+        "The queue of the upstream is full",
+        retry,
+      );
     }
     const attempt = new Attempt(request, now);
     this.#attempts.set(formatAttemptKey(key), attempt);
@@ -173,19 +187,19 @@
   async #run(attempt: Attempt): Promise<void> {
     const { admission, metrics } = this.#options;
     const { request, arrivedAt } = attempt;
-    const entered = await admission.enter({
+    const isAdmitted = await admission.acquire({
       priority: request.priority,
       attainedTokens: request.attainedTokens,
       arrivedAt,
     }, attempt.signal);
-    if (!entered) return this.#end(attempt, cancelledBeforeRunning());
+    if (!isAdmitted) return this.#finish(attempt, failCancelledBeforeRun());
     metrics.running.set(admission.running);
-    const enteredAt = Date.now();
+    const acquiredAt = Date.now();
     const outcome = await this.#runAtUpstream(attempt);
-    admission.leave(Date.now(), enteredAt);
+    admission.release(Date.now(), acquiredAt);
     metrics.running.set(admission.running);
     metrics.queued.set(admission.queued);
-    this.#end(attempt, outcome);
+    this.#finish(attempt, outcome);
   }
 
   async #runAtUpstream(attempt: Attempt): Promise<Outcome<Answer>> {
@@ -197,45 +211,45 @@
           formatAttemptKey(request.key).replaceAll("/", "-")
         }`,
         signal: attempt.signal,
-        onText: (text) => attempt.addText(text),
+        onText: (text) => attempt.appendText(text),
       });
     } catch (thrown) {
       const message = thrown instanceof Error
         ? thrown.message
-        : "Unknown fault";
+        : "Unknown error";
       this.#options.logger.error("Upstream client failed", { message });
       const code: ResultCode = isIdempotent(request.body)
         ? RESULT_CODES.UPSTREAM_ERROR
         : RESULT_CODES.OUTCOME_UNKNOWN;
-      return fail(code, "The call failed at the upstream");
+      return fail(code, "The upstream client failed during the call");
     }
   }
 
-  #end(attempt: Attempt, outcome: Outcome<Answer>): void {
+  #finish(attempt: Attempt, outcome: Outcome<Answer>): void {
     const kind = attempt.request.body.kind;
     const code = outcome.ok ? RESULT_CODES.OK : outcome.val.code;
     this.#options.metrics.calls.inc({ kind, code: code.name });
     attempt.end(outcome, Date.now());
   }
 
-  #refuseTerm() {
+  #rejectTerm() {
     return fail(
       RESULT_CODES.STALE_TERM,
-      "A later owner of the group was heard",
+      "The group has an owner with a later term",
     );
   }
 }
 
 /**
- * An owner may send an idempotent call before its acceptance is committed. If
- * that was lost with the owner, a later owner's attempt of the same number
- * may be another call.
+ * An owner may dispatch an idempotent call before the call's acceptance is
+ * committed. If the owner fails before the commit, the next owner may use the
+ * same attempt key for another call.
  */
-function isReplaced(known: Attempt, request: DispatchRequest): boolean {
+function isSuperseded(known: Attempt, request: DispatchRequest): boolean {
   return known.request.term < request.term && isIdempotent(request.body);
 }
 
-function cancelledBeforeRunning(): Outcome<Answer> {
+function failCancelledBeforeRun(): Outcome<Answer> {
   return fail(
     RESULT_CODES.CANCELLED,
     "The attempt was cancelled before it ran",
--- a/packages/sidecar/src/attempts/attempt_table_test.ts
+++ b/packages/sidecar/src/attempts/attempt_table_test.ts
@@ -23,28 +23,28 @@
 import { AttemptTable } from "./attempt_table.ts";
 
 const SEED = 1;
-const BOOT = "boot";
+const BOOT_ID = "boot";
 const ANSWER: Answer = { text: "done", finish: "200", usage: NO_USAGE };
 
-/** Remembers what ran, and ends it when the test says so. */
+/** Records started calls; completes them immediately or when the test does. */
 class FakeUpstream implements UpstreamClient {
-  readonly ran: string[] = [];
-  readonly ends: Deferred<Outcome<Answer>>[] = [];
-  #atOnce: boolean;
+  readonly startedIds: string[] = [];
+  readonly pendingOutcomes: Deferred<Outcome<Answer>>[] = [];
+  #completesImmediately: boolean;
 
-  constructor(atOnce: boolean) {
-    this.#atOnce = atOnce;
+  constructor(completesImmediately: boolean) {
+    this.#completesImmediately = completesImmediately;
   }
 
   run(run: UpstreamRun): Promise<Outcome<Answer>> {
-    this.ran.push(run.request.key.requestId);
-    if (this.#atOnce) return Promise.resolve(Ok(ANSWER));
-    const end = createDeferred<Outcome<Answer>>();
-    this.ends.push(end);
+    this.startedIds.push(run.request.key.requestId);
+    if (this.#completesImmediately) return Promise.resolve(Ok(ANSWER));
+    const pendingOutcome = createDeferred<Outcome<Answer>>();
+    this.pendingOutcomes.push(pendingOutcome);
     run.signal.addEventListener("abort", () => {
-      end.resolve(fail(RESULT_CODES.CANCELLED, "Cancelled"));
+      pendingOutcome.resolve(fail(RESULT_CODES.CANCELLED, "Cancelled"));
     });
-    return end.promise;
+    return pendingOutcome.promise;
   }
 
   readLoad() {
@@ -66,18 +66,18 @@
 
 function createTable(
   options: {
-    readonly atOnce: boolean;
+    readonly completesImmediately: boolean;
     readonly slots?: number;
     readonly queueLimit?: number;
   },
 ) {
-  const upstream = new FakeUpstream(options.atOnce);
+  const upstream = new FakeUpstream(options.completesImmediately);
   const limits = {
     slots: options.slots ?? 4,
     queueLimit: options.queueLimit ?? 4,
   };
   const table = new AttemptTable({
-    bootId: BOOT,
+    bootId: BOOT_ID,
     admission: new Admission(limits, new FirstCome()),
     upstream,
     keepMilliseconds: 1_000,
@@ -98,7 +98,7 @@
   return {
     key: { group: 1, programId: "p", requestId, attempt },
     term,
-    bootId: BOOT,
+    bootId: BOOT_ID,
     outfit: "north",
     priority: 1,
     attainedTokens: 0,
@@ -115,56 +115,59 @@
   };
 }
 
-function findCode(outcome: Outcome<unknown>): string {
+function getCodeName(outcome: Outcome<unknown>): string {
   return outcome.ok ? "OK" : outcome.val.code.name;
 }
 
-test("the same attempt again joins the first and does not run twice", async (t) => {
-  const { table, upstream } = createTable({ atOnce: false });
+test("a repeated dispatch joins the first one and does not run again", async (t) => {
+  const { table, upstream } = createTable({ completesImmediately: false });
   const first = table.dispatch(createRequest({}), 0);
   const second = table.dispatch(createRequest({}), 0);
   await setImmediate();
-  upstream.ends[0]?.resolve(Ok(ANSWER));
+  upstream.pendingOutcomes[0]?.resolve(Ok(ANSWER));
   t.same(await first, await second);
-  t.same(upstream.ran, ["r"]);
+  t.same(upstream.startedIds, ["r"]);
 });
 
-test("an attempt that an owner was told never ran cannot run later", async (t) => {
-  const { table, upstream } = createTable({ atOnce: true });
+test("an attempt that was reported as never_ran cannot run later", async (t) => {
+  const { table, upstream } = createTable({ completesImmediately: true });
   const { key } = createRequest({});
-  const state = table.recover({ key, term: 1, bootId: BOOT }, 0);
+  const state = table.recover({ key, term: 1, bootId: BOOT_ID }, 0);
   t.equal(state.ok && state.val.state, "never_ran");
-  t.equal(findCode(await table.dispatch(createRequest({}), 0)), "STALE_TERM");
-  t.same(upstream.ran, []);
+  t.equal(
+    getCodeName(await table.dispatch(createRequest({}), 0)),
+    "STALE_TERM",
+  );
+  t.same(upstream.startedIds, []);
 });
 
-test("after a later owner was heard, the earlier one can start nothing", async (t) => {
-  const { table, upstream } = createTable({ atOnce: true });
+test("a dispatch with a term older than the highest one is rejected", async (t) => {
+  const { table, upstream } = createTable({ completesImmediately: true });
   await table.dispatch(createRequest({ requestId: "new", term: 5 }), 0);
   t.equal(
-    findCode(
+    getCodeName(
       await table.dispatch(createRequest({ requestId: "old", term: 4 }), 0),
     ),
     "STALE_TERM",
   );
-  t.same(upstream.ran, ["new"]);
+  t.same(upstream.startedIds, ["new"]);
 });
 
-test("a dispatch or question meant for an earlier start is recognized", async (t) => {
-  const { table, upstream } = createTable({ atOnce: true });
+test("an earlier boot's dispatch is rejected, and its outcome is unknown", async (t) => {
+  const { table, upstream } = createTable({ completesImmediately: true });
   const request = { ...createRequest({}), bootId: "earlier" };
-  t.equal(findCode(await table.dispatch(request, 0)), "NO_UPSTREAM");
+  t.equal(getCodeName(await table.dispatch(request, 0)), "NO_UPSTREAM");
   const state = table.recover(
     { key: request.key, term: 1, bootId: "earlier" },
     0,
   );
   t.equal(state.ok && state.val.state, "outcome_unknown");
-  t.same(upstream.ran, []);
+  t.same(upstream.startedIds, []);
 });
 
-test("a full queue and a drain refuse at once, and say that nothing ran", async (t) => {
+test("a full queue and a draining sidecar reject immediately with a not-run code", async (t) => {
   const { table, upstream } = createTable({
-    atOnce: false,
+    completesImmediately: false,
     slots: 1,
     queueLimit: 1,
   });
@@ -172,25 +175,25 @@
   const second = table.dispatch(createRequest({ requestId: "b" }), 0);
   await setImmediate();
   const refused = await table.dispatch(createRequest({ requestId: "c" }), 0);
-  t.equal(findCode(refused), "QUEUE_FULL");
+  t.equal(getCodeName(refused), "QUEUE_FULL");
   t.ok(
     refused.err && refused.val.code.notRun &&
       (refused.val.retryAfterMilliseconds ?? 0) > 0,
   );
   table.setDraining(true);
   t.equal(
-    findCode(await table.dispatch(createRequest({ requestId: "d" }), 0)),
+    getCodeName(await table.dispatch(createRequest({ requestId: "d" }), 0)),
     "DRAINING",
   );
-  upstream.ends[0]?.resolve(Ok(ANSWER));
+  upstream.pendingOutcomes[0]?.resolve(Ok(ANSWER));
   await first;
   await setImmediate();
-  upstream.ends[1]?.resolve(Ok(ANSWER));
-  t.equal(findCode(await second), "OK");
-  t.same(upstream.ran, ["a", "b"]);
+  upstream.pendingOutcomes[1]?.resolve(Ok(ANSWER));
+  t.equal(getCodeName(await second), "OK");
+  t.same(upstream.startedIds, ["a", "b"]);
 });
 
-test("any mix of owners' messages runs an attempt once at most, and never after never_ran", async (t) => {
+test("any message sequence runs an attempt at most once and never after never_ran", async (t) => {
   const message = fc.record({
     kind: fc.constantFrom("dispatch", "recover", "cancel"),
     attempt: fc.integer({ min: 1, max: 2 }),
@@ -198,28 +201,28 @@
   });
   await fc.assert(
     fc.asyncProperty(fc.array(message, { maxLength: 30 }), async (messages) => {
-      const { table, upstream } = createTable({ atOnce: true });
-      const denied = new Set<string>();
+      const { table, upstream } = createTable({ completesImmediately: true });
+      const neverRan = new Set<string>();
       for (const { kind, attempt, term } of messages) {
         const request = createRequest({
           requestId: `r${attempt}`,
           attempt,
           term,
         });
-        const question = { key: request.key, term, bootId: BOOT };
-        const ranBefore = upstream.ran.length;
+        const recoverRequest = { key: request.key, term, bootId: BOOT_ID };
+        const startedBefore = upstream.startedIds.length;
         if (kind === "dispatch") await table.dispatch(request, 0);
-        if (kind === "cancel") table.cancel(question, 0);
+        if (kind === "cancel") table.cancel(recoverRequest, 0);
         if (kind === "recover") {
-          const state = table.recover(question, 0);
+          const state = table.recover(recoverRequest, 0);
           if (state.ok && state.val.state === "never_ran") {
-            denied.add(request.key.requestId);
+            neverRan.add(request.key.requestId);
           }
         }
-        const started = upstream.ran.slice(ranBefore);
-        if (started.some((requestId) => denied.has(requestId))) return false;
+        const started = upstream.startedIds.slice(startedBefore);
+        if (started.some((requestId) => neverRan.has(requestId))) return false;
       }
-      return new Set(upstream.ran).size === upstream.ran.length;
+      return new Set(upstream.startedIds).size === upstream.startedIds.length;
     }),
     { seed: SEED, numRuns: 300 },
   );
--- a/packages/sidecar/src/attempts/fence.ts
+++ b/packages/sidecar/src/attempts/fence.ts
@@ -1,41 +1,42 @@
 /**
- * What may no longer run here: dispatches of older terms, and single
- * attempts that an owner was told have never run.
+ * Fencing of dispatches: those with a term older than the highest one of
+ * their group, and those of single attempts that were reported as never run
+ * or cancelled.
  */
 
 import { type AttemptKey, formatAttemptKey } from "@mallowlift/core";
 
-/** Highest terms and fenced attempts. */
+/** Keeps the highest term of each group and the fenced attempts. */
 export class Fence {
-  readonly #terms = new Map<number, number>();
+  readonly #highestTerms = new Map<number, number>();
   readonly #fencedAt = new Map<string, number>();
 
   /**
-   * Notes the term of an owner's message.
+   * Records the term of a message from a group's owner.
    *
-   * @returns false if a later owner of the group was heard before
+   * @returns false if the group has already sent a higher term
    */
-  admitTerm(group: number, term: number): boolean {
-    const highest = this.#terms.get(group) ?? 0;
+  acceptTerm(group: number, term: number): boolean {
+    const highest = this.#highestTerms.get(group) ?? 0;
     if (term < highest) return false;
-    this.#terms.set(group, term);
+    this.#highestTerms.set(group, term);
     return true;
   }
 
-  /** Fences one attempt: a dispatch of it that is still under way will not run. */
+  /** Fences an attempt, so that a dispatch still in flight will not run it. */
   fence(key: AttemptKey, now: number): void {
     this.#fencedAt.set(formatAttemptKey(key), now);
   }
 
-  /** True if the attempt must not run. */
+  /** Returns true if the attempt must not run. */
   isFenced(key: AttemptKey): boolean {
     return this.#fencedAt.has(formatAttemptKey(key));
   }
 
-  /** Forgets fences that no message can be under way for any more. */
-  forgetBefore(time: number): void {
+  /** Evicts fences set before a time that no message in flight predates. */
+  evictBefore(cutoff: number): void {
     for (const [key, fencedAt] of this.#fencedAt) {
-      if (fencedAt < time) this.#fencedAt.delete(key);
+      if (fencedAt < cutoff) this.#fencedAt.delete(key);
     }
   }
 }
--- a/packages/sidecar/src/attempts/stream_attempt.ts
+++ b/packages/sidecar/src/attempts/stream_attempt.ts
@@ -1,4 +1,4 @@
-/** Sends the text of an attempt to an entry as it grows. */
+/** Streams the text of an attempt to an entry as the upstream produces it. */
 
 import {
   type AttachRequest,
@@ -12,19 +12,22 @@
 import { Ok } from "ts-results";
 import type { AttemptTable } from "./attempt_table.ts";
 
-const ARRIVAL_MILLISECONDS = 2_000;
-const LOOK_MILLISECONDS = 5;
-const GROWTH_MILLISECONDS = 5_000;
+const ARRIVAL_TIMEOUT_MILLISECONDS = 2_000;
+const POLL_INTERVAL_MILLISECONDS = 5;
+const PROGRESS_TIMEOUT_MILLISECONDS = 5_000;
 
-/** Streams until the attempt has ended or the entry goes away. */
+/** Streams chunks until the attempt ends or the entry disconnects. */
 export async function streamAttempt(
   table: AttemptTable,
   request: AttachRequest,
   context: CallContext<TextChunk>,
 ): Promise<Outcome<Record<string, never>>> {
-  const attempt = await findArriving(table, request);
+  const attempt = await waitForAttempt(table, request);
   if (attempt === undefined) {
-    return fail(RESULT_CODES.UNKNOWN_ATTEMPT, "The attempt is not known here");
+    return fail(
+      RESULT_CODES.UNKNOWN_ATTEMPT,
+      "The attempt is unknown at this sidecar",
+    );
   }
   let offset = request.offset;
   while (!context.signal.aborted) {
@@ -33,20 +36,20 @@
       offset = attempt.text.length;
     }
     if (attempt.outcome !== undefined) return Ok({});
-    await attempt.waitForGrowth(GROWTH_MILLISECONDS);
+    await attempt.waitForProgress(PROGRESS_TIMEOUT_MILLISECONDS);
   }
-  return fail(RESULT_CODES.CANCELLED, "The entry went away");
+  return fail(RESULT_CODES.CANCELLED, "The entry disconnected");
 }
 
-/** The entry may hear of an attempt before its dispatch has arrived here. */
-async function findArriving(table: AttemptTable, request: AttachRequest) {
+/** Waits for an attempt: an entry may attach before the dispatch arrives. */
+async function waitForAttempt(table: AttemptTable, request: AttachRequest) {
   let attempt = table.find(request.key);
   for (
-    let waited = 0;
-    attempt === undefined && waited < ARRIVAL_MILLISECONDS;
+    let waitedMilliseconds = 0;
+    attempt === undefined && waitedMilliseconds < ARRIVAL_TIMEOUT_MILLISECONDS;
   ) {
-    await sleep(LOOK_MILLISECONDS);
-    waited += LOOK_MILLISECONDS;
+    await sleep(POLL_INTERVAL_MILLISECONDS);
+    waitedMilliseconds += POLL_INTERVAL_MILLISECONDS;
     attempt = table.find(request.key);
   }
   return attempt;
--- a/packages/sidecar/src/mod.ts
+++ b/packages/sidecar/src/mod.ts
@@ -1,4 +1,4 @@
-/** The sidecar role. */
+/** The sidecar role: the only access to one upstream. */
 
 export * from "./attempts/admission.ts";
 export * from "./attempts/attempt.ts";
--- a/packages/sidecar/src/orders/engine_orders.ts
+++ b/packages/sidecar/src/orders/engine_orders.ts
@@ -1,52 +1,52 @@
-/** Orders to an engine over HTTP. */
+/** Client for orders to an engine. */
 
 import { HttpClient } from "../upstream/http_client.ts";
 
-const ORDER_MILLISECONDS = 1_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 1_000;
 
-/** What an engine is, as far as orders change it. */
+/** State of an engine that orders can change. */
 export interface EngineState {
   readonly models: readonly string[];
   readonly role: string;
 }
 
-/** One order. */
+/** An order that loads or unloads a model or sets the engine's role. */
 export interface EngineOrder {
   readonly action: "load" | "unload" | "set_role";
   readonly target: string;
 }
 
-/** Sends orders and reads what they did. */
-export interface EngineOrders {
+/** Reads an engine's state and sends it orders. */
+export interface EngineOrderClient {
   readState(): Promise<EngineState>;
   send(order: EngineOrder, fencingNumber: number): Promise<void>;
 }
 
-/** Orders over the engine's HTTP interface. */
-export class HttpEngineOrders implements EngineOrders {
+/** Uses the engine's HTTP interface. */
+export class HttpEngineOrderClient implements EngineOrderClient {
   readonly #http: HttpClient;
 
   constructor(url: string) {
     this.#http = new HttpClient(url);
   }
 
-  /** Reads the engine's state. */
+  /** Returns the loaded models and the role. */
   async readState(): Promise<EngineState> {
-    const answer = await this.#http.send({
+    const response = await this.#http.send({
       method: "GET",
       path: "/v1/state",
-      timeoutMilliseconds: ORDER_MILLISECONDS,
+      timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS,
     });
-    return JSON.parse(answer.body) as EngineState;
+    return JSON.parse(response.body) as EngineState;
   }
 
-  /** Sends an order with its fencing number. */
+  /** Sends an order with the fencing number of the sender's lease. */
   async send(order: EngineOrder, fencingNumber: number): Promise<void> {
     await this.#http.send({
       method: "POST",
       path: "/v1/orders",
       payload: JSON.stringify({ ...order, fencing_number: fencingNumber }),
-      timeoutMilliseconds: ORDER_MILLISECONDS,
+      timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS,
     });
   }
 }
--- a/packages/sidecar/src/orders/order_keeper.ts
+++ b/packages/sidecar/src/orders/order_keeper.ts
@@ -1,52 +1,53 @@
 /**
- * Gives the engine its orders. Only the holder of the upstream's lease sends
- * one, and it looks at the lease just before, by the monotonic clock: not
- * every engine checks the fencing number.
+ * Reconciles an engine with its configuration by sending it orders. Only the
+ * holder of the upstream's lease sends orders. It checks the lease by the
+ * monotonic clock before each order, because not every engine checks the
+ * fencing number.
  */
 
 import { performance } from "node:perf_hooks";
 import type { ConfigurationView } from "@mallowlift/configuration";
 import { ABORTED, type Logger, sleep } from "@mallowlift/core";
 import type { Caller } from "@mallowlift/transport";
-import type { EngineOrders, EngineState } from "./engine_orders.ts";
+import type { EngineOrderClient, EngineState } from "./engine_orders.ts";
 import { planOrders } from "./plan_orders.ts";
 
-const ANSWER_MILLISECONDS = 1_000;
-const MARGIN_SHARE = 4;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
+const LEASE_MARGIN_DIVISOR = 4;
 
-/** What the keeper needs. */
-export interface OrderKeeperOptions {
+/** Options of {@linkcode OrderReconciler}. */
+export interface OrderReconcilerOptions {
   readonly upstream: string;
   readonly bootId: string;
-  readonly engine: EngineOrders;
+  readonly engine: EngineOrderClient;
   readonly view: ConfigurationView;
   readonly replicas: readonly Caller[];
   readonly leaseMilliseconds: number;
   readonly logger: Logger;
 }
 
-/** Compares the engine's state with the wanted one, again and again. */
-export class OrderKeeper {
-  readonly #options: OrderKeeperOptions;
+/** Periodically sends the orders that bring an engine to its wanted state. */
+export class OrderReconciler {
+  readonly #options: OrderReconcilerOptions;
   readonly #stopped = new AbortController();
-  #leaseUntil = -Infinity;
+  #leaseExpiresAt = -Infinity;
   #fencingNumber = 0;
 
-  constructor(options: OrderKeeperOptions) {
+  constructor(options: OrderReconcilerOptions) {
     this.#options = options;
   }
 
-  /** Starts the task. */
+  /** Starts the periodic task. */
   start(): void {
-    void this.#keep();
+    void this.#runLoop();
   }
 
-  /** Ends the task. */
+  /** Stops the periodic task. */
   stop(): void {
     this.#stopped.abort(ABORTED);
   }
 
-  async #keep(): Promise<void> {
+  async #runLoop(): Promise<void> {
     const interval = this.#options.leaseMilliseconds / 3;
     while (!this.#stopped.signal.aborted) {
       await this.#renewLease();
@@ -60,16 +61,17 @@
   async #renewLease(): Promise<void> {
     const { upstream, bootId, leaseMilliseconds } = this.#options;
     for (const replica of this.#options.replicas) {
-      // The lease counts from before the request, so it ends here first.
-      const askedAt = performance.now();
+      // The lease is measured from before the request, so it expires here
+      // before it expires at the replica.
+      const requestedAt = performance.now();
       const reply = await replica.call("configuration.lease", {
         upstream,
         holder: bootId,
         durationMilliseconds: leaseMilliseconds,
-      }, { timeoutMilliseconds: ANSWER_MILLISECONDS });
+      }, { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS });
       if (reply.err) continue;
       if (!reply.val.granted) return;
-      this.#leaseUntil = askedAt + leaseMilliseconds;
+      this.#leaseExpiresAt = requestedAt + leaseMilliseconds;
       this.#fencingNumber = reply.val.fencingNumber;
       return;
     }
@@ -90,7 +92,7 @@
   }
 
   #holdsLease(now: number): boolean {
-    const margin = this.#options.leaseMilliseconds / MARGIN_SHARE;
-    return now < this.#leaseUntil - margin;
+    const margin = this.#options.leaseMilliseconds / LEASE_MARGIN_DIVISOR;
+    return now < this.#leaseExpiresAt - margin;
   }
 }
--- a/packages/sidecar/src/orders/plan_orders.ts
+++ b/packages/sidecar/src/orders/plan_orders.ts
@@ -1,11 +1,11 @@
-/** Which orders bring an engine from its state to the wanted one. */
+/** Plans the orders that bring an engine from its state to the wanted one. */
 
 import type { UpstreamSpec } from "@mallowlift/core";
 import type { EngineOrder, EngineState } from "./engine_orders.ts";
 
 /**
- * Returns the orders still to be given, in order: what is not wanted leaves
- * first, so that there is room for what is.
+ * Returns the orders that are still needed, in the order in which to send
+ * them. Unwanted models are unloaded first to make room for the wanted ones.
  *
  * @example
  * ```ts
--- a/packages/sidecar/src/orders/plan_orders_test.ts
+++ b/packages/sidecar/src/orders/plan_orders_test.ts
@@ -10,7 +10,7 @@
   "decode" as const,
 );
 
-test("the orders lead from any state to the wanted one, and then there are none", (t) => {
+test("the orders bring any state to the wanted one, which needs no more orders", (t) => {
   fc.assert(
     fc.property(
       models,
@@ -30,7 +30,9 @@
           if (action === "unload") {
             state = {
               ...state,
-              models: state.models.filter((known) => known !== target),
+              models: state.models.filter((loadedModel) =>
+                loadedModel !== target
+              ),
             };
           }
           if (action === "set_role") state = { ...state, role: target };
--- a/packages/sidecar/src/reports/recent_changes.ts
+++ b/packages/sidecar/src/reports/recent_changes.ts
@@ -1,4 +1,7 @@
-/** Cache changes of the last while, for reports that may be lost or doubled. */
+/**
+ * Recent cache changes of an upstream. Each is included in several reports,
+ * because a report may be lost or duplicated.
+ */
 
 import type { CacheChange } from "@mallowlift/core";
 
@@ -7,7 +10,7 @@
   readonly at: number;
 }
 
-/** Keeps the latest change of each program for a while. */
+/** Keeps the latest change of each program for a fixed time. */
 export class RecentChanges {
   readonly #keepMilliseconds: number;
   readonly #changes = new Map<string, TimedChange>();
@@ -16,14 +19,14 @@
     this.#keepMilliseconds = keepMilliseconds;
   }
 
-  /** Adds changes in the order in which they happened. */
+  /** Adds changes, oldest first. */
   add(changes: readonly CacheChange[], now: number): void {
     for (const change of changes) {
       this.#changes.set(change.programId, { change, at: now });
     }
   }
 
-  /** Returns what is recent enough and forgets the rest. */
+  /** Evicts expired changes and returns the others. */
   list(now: number): readonly CacheChange[] {
     for (const [programId, { at }] of this.#changes) {
       if (now - at > this.#keepMilliseconds) this.#changes.delete(programId);
--- a/packages/sidecar/src/reports/reporter.ts
+++ b/packages/sidecar/src/reports/reporter.ts
@@ -1,4 +1,4 @@
-/** Reports the sidecar to every replica; one task per replica. */
+/** Sends reports of a sidecar to every replica, with one task per replica. */
 
 import {
   ABORTED,
@@ -9,9 +9,9 @@
 } from "@mallowlift/core";
 import type { Caller } from "@mallowlift/transport";
 
-const ANSWER_MILLISECONDS = 1_000;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
-/** What the reporter needs. */
+/** Options of {@linkcode Reporter}. */
 export interface ReporterOptions {
   readonly replicas: readonly Caller[];
   readonly reportMilliseconds: number;
@@ -19,11 +19,11 @@
   readonly logger: Logger;
 }
 
-/** Sends reports in time and at once when something important changes. */
+/** Sends reports at a fixed interval and immediately on request. */
 export class Reporter {
   readonly #options: ReporterOptions;
   readonly #stopped = new AbortController();
-  readonly #urgent = new WakeSignal();
+  readonly #reportRequested = new WakeSignal();
 
   constructor(options: ReporterOptions) {
     this.#options = options;
@@ -34,26 +34,26 @@
     for (const replica of this.#options.replicas) void this.#reportTo(replica);
   }
 
-  /** Sends a report at once. */
+  /** Sends a report immediately. */
   reportNow(): void {
-    this.#urgent.wake();
+    this.#reportRequested.wake();
   }
 
-  /** Ends the tasks. */
+  /** Stops the tasks. */
   stop(): void {
     this.#stopped.abort(ABORTED);
-    this.#urgent.wake();
+    this.#reportRequested.wake();
   }
 
   async #reportTo(replica: Caller): Promise<void> {
     while (!this.#stopped.signal.aborted) {
       const report = this.#options.createReport();
       const sent = await replica.call("sidecars.report", report, {
-        timeoutMilliseconds: ANSWER_MILLISECONDS,
+        timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS,
       });
       if (sent.err) {
         await sleep(this.#options.reportMilliseconds / 4, this.#stopped.signal);
-      } else await this.#urgent.wait(this.#options.reportMilliseconds);
+      } else await this.#reportRequested.wait(this.#options.reportMilliseconds);
     }
   }
 }
--- a/packages/sidecar/src/reports/session_keeper.ts
+++ b/packages/sidecar/src/reports/session_keeper.ts
@@ -1,4 +1,4 @@
-/** Frees engine memory of programs that no owner knows as alive. */
+/** Releases engine sessions of programs that are no longer alive. */
 
 import {
   ABORTED,
@@ -13,10 +13,10 @@
 import { Ok } from "ts-results";
 import type { UpstreamClient } from "../upstream/upstream_client.ts";
 
-const ANSWER_MILLISECONDS = 1_000;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
-/** What the keeper needs. */
-export interface SessionKeeperOptions {
+/** Options of {@linkcode SessionCleaner}. */
+export interface SessionCleanerOptions {
   readonly upstream: UpstreamClient;
   readonly replicas: readonly Caller[];
   readonly programGroups: number;
@@ -25,52 +25,55 @@
 }
 
 /**
- * Compares what the engine holds with what owners say is alive. It works
- * from the engine's own list, so it also finds what an earlier start of this
- * sidecar, or an owner that died, has left behind.
+ * Compares the engine's sessions with the programs that their owners report
+ * as alive. It starts from the engine's own list, so it also finds sessions
+ * left behind by an earlier start of this sidecar or by an owner that failed.
  */
-export class SessionKeeper {
-  readonly #options: SessionKeeperOptions;
+export class SessionCleaner {
+  readonly #options: SessionCleanerOptions;
   readonly #stopped = new AbortController();
 
-  constructor(options: SessionKeeperOptions) {
+  constructor(options: SessionCleanerOptions) {
     this.#options = options;
   }
 
-  /** Starts the task. */
+  /** Starts the periodic task. */
   start(): void {
-    void this.#keep();
+    void this.#runLoop();
   }
 
-  /** Ends the task. */
+  /** Stops the periodic task. */
   stop(): void {
     this.#stopped.abort(ABORTED);
   }
 
-  async #keep(): Promise<void> {
+  async #runLoop(): Promise<void> {
     while (!this.#stopped.signal.aborted) {
       await sleep(this.#options.intervalMilliseconds, this.#stopped.signal);
       try {
-        await this.compareOnce();
+        await this.releaseOrphans();
       } catch {
         this.#options.logger.debug("Engine did not list its sessions");
       }
     }
   }
 
-  /** Compares once; returns the programs whose memory was freed. */
-  async compareOnce(): Promise<readonly string[]> {
+  /**
+   * Releases the sessions of all programs that are not alive; those of a group
+   * whose leader does not answer are kept. Returns the released programs.
+   */
+  async releaseOrphans(): Promise<readonly string[]> {
     const sessions = await this.#options.upstream.listSessions();
     const byGroup = new Map<number, string[]>();
     for (const programId of sessions) {
       const group = findProgramGroup(programId, this.#options.programGroups);
-      const known = byGroup.get(group) ?? [];
-      known.push(programId);
-      byGroup.set(group, known);
+      const groupProgramIds = byGroup.get(group) ?? [];
+      groupProgramIds.push(programId);
+      byGroup.set(group, groupProgramIds);
     }
     const freed: string[] = [];
     for (const [group, programIds] of byGroup) {
-      const alive = await this.#askOwner(group, programIds);
+      const alive = await this.#fetchAlive(group, programIds);
       if (alive.err) continue;
       for (const programId of programIds) {
         if (alive.val.includes(programId)) continue;
@@ -81,7 +84,7 @@
     return freed;
   }
 
-  async #askOwner(
+  async #fetchAlive(
     group: number,
     programIds: readonly string[],
   ): Promise<Outcome<readonly string[]>> {
@@ -89,10 +92,13 @@
       const answer = await replica.call(
         "programs.alive",
         { group, programIds },
-        { timeoutMilliseconds: ANSWER_MILLISECONDS },
+        { timeoutMilliseconds: CALL_TIMEOUT_MILLISECONDS },
       );
       if (answer.ok) return Ok(answer.val.alive);
     }
-    return fail(RESULT_CODES.NO_LEADER, "No leader answered for the group");
+    return fail(
+      RESULT_CODES.NO_LEADER,
+      "No replica answered as the leader of the group",
+    );
   }
 }
--- a/packages/sidecar/src/sidecar_app.ts
+++ b/packages/sidecar/src/sidecar_app.ts
@@ -1,4 +1,4 @@
-/** The handlers of the sidecar role, in one place. */
+/** Request handlers of the sidecar role. */
 
 import type { HandlerTable } from "@mallowlift/transport";
 import { Ok } from "ts-results";
@@ -6,7 +6,7 @@
 import { streamAttempt } from "./attempts/stream_attempt.ts";
 import type { UpstreamClient } from "./upstream/upstream_client.ts";
 
-/** Lists what a sidecar serves to owners and entries. */
+/** Creates the handlers for requests from owners and entries. */
 export function createSidecarHandlers(
   table: AttemptTable,
   upstream: UpstreamClient,
--- a/packages/sidecar/src/sidecar_role.ts
+++ b/packages/sidecar/src/sidecar_role.ts
@@ -1,4 +1,4 @@
-/** The sidecar role: stands beside one upstream and is the only way to it. */
+/** The sidecar role: runs beside one upstream and is the only access to it. */
 
 import { ConfigurationFollower } from "@mallowlift/configuration";
 import {
@@ -14,11 +14,11 @@
 import type { Caller, HandlerTable } from "@mallowlift/transport";
 import { Admission } from "./attempts/admission.ts";
 import { AttemptTable } from "./attempts/attempt_table.ts";
-import { HttpEngineOrders } from "./orders/engine_orders.ts";
-import { OrderKeeper } from "./orders/order_keeper.ts";
+import { HttpEngineOrderClient } from "./orders/engine_orders.ts";
+import { OrderReconciler } from "./orders/order_keeper.ts";
 import { RecentChanges } from "./reports/recent_changes.ts";
 import { Reporter } from "./reports/reporter.ts";
-import { SessionKeeper } from "./reports/session_keeper.ts";
+import { SessionCleaner } from "./reports/session_keeper.ts";
 import { createSidecarHandlers } from "./sidecar_app.ts";
 import { EngineClient } from "./upstream/engine_client.ts";
 import { ServiceClient } from "./upstream/service_client.ts";
@@ -27,27 +27,27 @@
   UpstreamLoad,
 } from "./upstream/upstream_client.ts";
 
-/** A change of the configuration wakes the look at once. */
-const LOOK_MILLISECONDS = 1_000;
-const LAST_ANSWERS_MILLISECONDS = 250;
-const DRAIN_LOOK_MILLISECONDS = 20;
-const SESSION_MILLISECONDS = 3_000;
-/** Long enough that each change is in several reports to each replica. */
-const CHANGES_MILLISECONDS = 4_000;
-const HOLD_MILLISECONDS = 1_000;
+/** Longest time between two checks; a configuration change triggers one. */
+const WATCH_INTERVAL_MILLISECONDS = 1_000;
+const FINAL_RESPONSE_GRACE_MILLISECONDS = 250;
+const DRAIN_POLL_MILLISECONDS = 20;
+const SESSION_CLEANUP_INTERVAL_MILLISECONDS = 3_000;
+/** Long enough that several reports to each replica contain each change. */
+const CACHE_CHANGE_RETENTION_MILLISECONDS = 4_000;
+const LONG_POLL_MILLISECONDS = 1_000;
 
-/** What the role needs. */
+/** Options of {@linkcode SidecarRole}. */
 export interface SidecarRoleOptions {
   readonly settings: Settings;
   readonly bootId: string;
-  /** Returns the address that other daemons reach this one at. */
+  /** Returns the address at which other daemons reach this one. */
   readonly getAddress: () => string;
   readonly replicas: readonly Caller[];
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** A sidecar. */
+/** Runs attempts at one upstream and reports its state to the replicas. */
 export class SidecarRole implements Child {
   readonly name = "sidecar";
   readonly #options: SidecarRoleOptions;
@@ -57,12 +57,14 @@
   readonly #table: AttemptTable;
   readonly #follower: ConfigurationFollower;
   readonly #reporter: Reporter;
-  readonly #sessions: SessionKeeper;
-  readonly #orders: OrderKeeper | undefined;
+  readonly #sessionCleaner: SessionCleaner;
+  readonly #orderReconciler: OrderReconciler | undefined;
   readonly #stopped = new AbortController();
-  readonly #cacheChanges = new RecentChanges(CHANGES_MILLISECONDS);
+  readonly #cacheChanges = new RecentChanges(
+    CACHE_CHANGE_RETENTION_MILLISECONDS,
+  );
   #load: UpstreamLoad | undefined;
-  #stopping = false;
+  #isStopping = false;
 
   constructor(options: SidecarRoleOptions) {
     const { settings, bootId, replicas, metrics } = options;
@@ -84,7 +86,7 @@
       daemonId: settings.daemon.name,
       bootId,
       replicas,
-      holdMilliseconds: HOLD_MILLISECONDS,
+      holdMilliseconds: LONG_POLL_MILLISECONDS,
       logger,
       metrics,
     });
@@ -94,54 +96,54 @@
       createReport: () => this.#createReport(),
       logger,
     });
-    this.#sessions = new SessionKeeper({
+    this.#sessionCleaner = new SessionCleaner({
       upstream: this.#upstream,
       replicas,
       programGroups: settings.network.programGroups,
-      intervalMilliseconds: SESSION_MILLISECONDS,
+      intervalMilliseconds: SESSION_CLEANUP_INTERVAL_MILLISECONDS,
       logger,
     });
-    this.#orders = this.#createOrderKeeper();
+    this.#orderReconciler = this.#createOrderReconciler();
   }
 
-  /** Handlers for owners and entries. */
+  /** Creates the handlers for requests from owners and entries. */
   createHandlers(): HandlerTable {
     return createSidecarHandlers(this.#table, this.#upstream);
   }
 
-  /** True while the upstream answers and the sidecar takes work. */
+  /** Returns true while the upstream responds and new attempts are accepted. */
   isHealthy(): boolean {
     return this.#load !== undefined && !this.#table.isDraining;
   }
 
-  /** Starts all tasks. */
+  /** Reads the upstream's load and starts all tasks. */
   async start(): Promise<void> {
     this.#load = await this.#upstream.readLoad();
     this.#follower.start();
     this.#reporter.start();
-    this.#sessions.start();
-    this.#orders?.start();
+    this.#sessionCleaner.start();
+    this.#orderReconciler?.start();
     void this.#watch();
     this.#logger.info("Started", {
       upstream: this.#options.settings.sidecar.upstream,
     });
   }
 
-  /** Refuses new work, finishes what is open, then ends. */
+  /** Rejects new attempts, waits for pending ones, then stops all tasks. */
   async stop(): Promise<void> {
-    this.#stopping = true;
+    this.#isStopping = true;
     this.#table.setDraining(true);
     this.#reporter.reportNow();
     const deadline = Date.now() +
       this.#options.settings.daemon.stopMilliseconds;
-    while (this.#table.openCount > 0 && Date.now() < deadline) {
-      await sleep(DRAIN_LOOK_MILLISECONDS);
+    while (this.#table.pendingCount > 0 && Date.now() < deadline) {
+      await sleep(DRAIN_POLL_MILLISECONDS);
     }
-    // Owners and entries read the last answers over their open connections.
-    await sleep(LAST_ANSWERS_MILLISECONDS);
+    // Owners and entries still read the last answers over open connections.
+    await sleep(FINAL_RESPONSE_GRACE_MILLISECONDS);
     this.#stopped.abort(ABORTED);
-    this.#orders?.stop();
-    this.#sessions.stop();
+    this.#orderReconciler?.stop();
+    this.#sessionCleaner.stop();
     this.#reporter.stop();
     this.#follower.stop();
   }
@@ -152,11 +154,13 @@
       this.#load = await this.#upstream.readLoad();
       const resource = this.#follower.view.find("upstream", sidecar.upstream);
       const wasDraining = this.#table.isDraining;
-      this.#table.setDraining(this.#stopping || resource?.spec.drain === true);
+      this.#table.setDraining(
+        this.#isStopping || resource?.spec.drain === true,
+      );
       if (wasDraining !== this.#table.isDraining) this.#reporter.reportNow();
-      this.#table.forgetOld(Date.now());
+      this.#table.evictExpired(Date.now());
       await this.#readCacheChanges();
-      await this.#follower.waitForChange(LOOK_MILLISECONDS);
+      await this.#follower.waitForChange(WATCH_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -191,14 +195,14 @@
     };
   }
 
-  #createOrderKeeper(): OrderKeeper | undefined {
+  #createOrderReconciler(): OrderReconciler | undefined {
     const { settings, bootId, replicas } = this.#options;
     const { sidecar } = settings;
     if (sidecar.type !== "model") return undefined;
-    return new OrderKeeper({
+    return new OrderReconciler({
       upstream: sidecar.upstream,
       bootId,
-      engine: new HttpEngineOrders(sidecar.upstreamUrl),
+      engine: new HttpEngineOrderClient(sidecar.upstreamUrl),
       view: this.#follower.view,
       replicas,
       leaseMilliseconds: sidecar.leaseMilliseconds,
--- a/packages/sidecar/src/upstream/engine_client.ts
+++ b/packages/sidecar/src/upstream/engine_client.ts
@@ -1,4 +1,4 @@
-/** Speaks to a model engine. */
+/** Upstream client for a model engine. */
 
 import type { IncomingMessage } from "node:http";
 import type { Buffer } from "node:buffer";
@@ -28,12 +28,12 @@
 } from "./upstream_client.ts";
 
 const MAX_RESUMES = 3;
-const CONTROL_MILLISECONDS = 2_000;
+const CONTROL_TIMEOUT_MILLISECONDS = 2_000;
 
-/** What an engine client needs. */
+/** Options of {@linkcode EngineClient}. */
 export interface EngineClientOptions {
   readonly url: string;
-  /** Silence within a stream after which it has failed. */
+  /** Time without data after which a stream counts as broken. */
   readonly silentMilliseconds: number;
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -45,11 +45,11 @@
   readonly tokens: number;
 }
 
-/** Runs model calls on one engine. */
+/** Runs model calls on one engine and resumes their streams when they break. */
 export class EngineClient implements UpstreamClient {
   readonly #options: EngineClientOptions;
   readonly #http: HttpClient;
-  #lastEvent = 0;
+  #lastEventSequence = 0;
 
   constructor(options: EngineClientOptions) {
     this.#options = options;
@@ -60,40 +60,43 @@
   async run(run: UpstreamRun): Promise<Outcome<Answer>> {
     const { request, streamId } = run;
     if (request.body.kind !== "model") {
-      return fail(RESULT_CODES.NO_UPSTREAM, "The upstream is a model engine");
+      return fail(
+        RESULT_CODES.NO_UPSTREAM,
+        "The upstream is a model engine and runs only model calls",
+      );
     }
     const stream = new EngineStream(streamId, (text) => run.onText(text));
-    let response: IncomingMessage | undefined = await this.#start(
+    let response: IncomingMessage | undefined = await this.#startStream(
       run,
       request.body,
     );
     for (let resumes = 0; resumes <= MAX_RESUMES; resumes++) {
       const step = response === undefined
         ? STREAM_STEPS.BROKEN
-        : await this.#read(response, stream);
-      if (step === STREAM_STEPS.WHOLE) {
-        return Ok(this.#finish(stream, request.told));
+        : await this.#readStream(response, stream);
+      if (step === STREAM_STEPS.COMPLETE) {
+        return Ok(this.#createAnswer(stream, request.told));
       }
       if (run.signal.aborted) break;
       const reason = RESULT_CODES.UPSTREAM_ERROR.name;
       this.#options.metrics.retries.inc({ part: "engine", reason });
-      response = await this.#resume(streamId, stream.text.length);
+      response = await this.#resumeStream(streamId, stream.text.length);
     }
-    void this.#cancel(streamId);
+    void this.#cancelStream(streamId);
     if (run.signal.aborted) {
       return fail(RESULT_CODES.CANCELLED, "The attempt was cancelled");
     }
     return fail(
       RESULT_CODES.UPSTREAM_ERROR,
-      "The engine broke off and did not resume",
+      "The engine's stream broke and could not be resumed",
     );
   }
 
-  /** Reads models and step time. */
+  /** Reads the loaded models and the step time. */
   async readLoad(): Promise<UpstreamLoad | undefined> {
     try {
-      const answer = await this.#control("GET", "/v1/load");
-      const load = JSON.parse(answer.body) as {
+      const response = await this.#sendControl("GET", "/v1/load");
+      const load = JSON.parse(response.body) as {
         models: readonly string[];
         step_milliseconds: number;
       };
@@ -103,14 +106,15 @@
     }
   }
 
-  /** Reads the cache events since the last reading; there may be gaps. */
+  /** Reads the cache events since the last call; some may be missing. */
   async readCacheChanges(): Promise<readonly CacheChange[]> {
-    const path = `/v1/cache/events?after=${this.#lastEvent}`;
-    const answer = await this.#control("GET", path);
-    const { events } = JSON.parse(answer.body) as {
+    const path = `/v1/cache/events?after=${this.#lastEventSequence}`;
+    const response = await this.#sendControl("GET", path);
+    const { events } = JSON.parse(response.body) as {
       readonly events: readonly EngineCacheEvent[];
     };
-    this.#lastEvent = events.at(-1)?.sequence ?? this.#lastEvent;
+    this.#lastEventSequence = events.at(-1)?.sequence ??
+      this.#lastEventSequence;
     return events.map(({ session, tokens }) => ({
       programId: session,
       tokens,
@@ -119,25 +123,25 @@
 
   /** Lists programs with cached tokens. */
   async listSessions(): Promise<readonly string[]> {
-    const answer = await this.#control("GET", "/v1/cache/sessions");
-    return (JSON.parse(answer.body) as { sessions: readonly string[] })
+    const response = await this.#sendControl("GET", "/v1/cache/sessions");
+    return (JSON.parse(response.body) as { sessions: readonly string[] })
       .sessions;
   }
 
-  /** Frees the cache of a program. */
+  /** Releases the cached tokens of a program. */
   async releaseSession(programId: string): Promise<void> {
-    await this.#control("DELETE", `/v1/cache/sessions/${programId}`);
+    await this.#sendControl("DELETE", `/v1/cache/sessions/${programId}`);
   }
 
-  async #control(method: string, path: string) {
+  async #sendControl(method: string, path: string) {
     return await this.#http.send({
       method,
       path,
-      timeoutMilliseconds: CONTROL_MILLISECONDS,
+      timeoutMilliseconds: CONTROL_TIMEOUT_MILLISECONDS,
     });
   }
 
-  async #start(
+  async #startStream(
     run: UpstreamRun,
     body: ModelCall,
   ): Promise<IncomingMessage | undefined> {
@@ -152,7 +156,7 @@
       continue_text: request.told,
       stream: true,
     });
-    return await this.#open({
+    return await this.#openStream({
       method: "POST",
       path: "/v1/chat/completions",
       payload,
@@ -160,17 +164,17 @@
     });
   }
 
-  async #resume(
+  async #resumeStream(
     streamId: string,
     offset: number,
   ): Promise<IncomingMessage | undefined> {
-    return await this.#open({
+    return await this.#openStream({
       method: "GET",
       path: `/v1/streams/${streamId}?offset=${offset}`,
     });
   }
 
-  async #open(request: {
+  async #openStream(request: {
     readonly method: string;
     readonly path: string;
     readonly payload?: string;
@@ -194,34 +198,34 @@
     }
   }
 
-  async #read(
+  async #readStream(
     response: IncomingMessage,
     stream: EngineStream,
   ): Promise<StreamStep> {
     const done = createDeferred<StreamStep>();
     const lines = new EventLineReader();
-    const silence = setTimeout(
+    const idleTimer = setTimeout(
       () => done.resolve(STREAM_STEPS.BROKEN),
       this.#options.silentMilliseconds,
     );
     response.on("data", (bytes: Buffer) => {
-      silence.refresh();
+      idleTimer.refresh();
       for (const data of lines.push(bytes)) {
-        const step = stream.take(data);
-        if (step !== STREAM_STEPS.GO_ON) return done.resolve(step);
+        const step = stream.processData(data);
+        if (step !== STREAM_STEPS.CONTINUE) return done.resolve(step);
       }
     });
     response.on("error", () => done.resolve(STREAM_STEPS.BROKEN));
     response.on("close", () => done.resolve(STREAM_STEPS.BROKEN));
     const step = await done.promise;
-    clearTimeout(silence);
+    clearTimeout(idleTimer);
     response.removeAllListeners("data");
-    if (step === STREAM_STEPS.WHOLE) response.resume();
+    if (step === STREAM_STEPS.COMPLETE) response.resume();
     else response.destroy();
     return step;
   }
 
-  #finish(stream: EngineStream, told: string): Answer {
+  #createAnswer(stream: EngineStream, told: string): Answer {
     this.#options.metrics.promptTokens.inc(stream.usage.promptTokens);
     this.#options.metrics.cachedTokens.inc(stream.usage.cachedTokens);
     return {
@@ -231,8 +235,8 @@
     };
   }
 
-  async #cancel(streamId: string): Promise<void> {
-    await this.#control("DELETE", `/v1/streams/${streamId}`).catch(() =>
+  async #cancelStream(streamId: string): Promise<void> {
+    await this.#sendControl("DELETE", `/v1/streams/${streamId}`).catch(() =>
       undefined
     );
   }
--- a/packages/sidecar/src/upstream/engine_stream.ts
+++ b/packages/sidecar/src/upstream/engine_stream.ts
@@ -1,9 +1,12 @@
-/** Puts the text of one engine stream together, whatever the engine sends. */
+/**
+ * Assembles the text of one engine stream. Duplicate events are ignored;
+ * missing, foreign and malformed ones mark the stream as broken.
+ */
 
 import type { Usage } from "@mallowlift/core";
 import { NO_USAGE } from "@mallowlift/core";
 
-/** One event of an engine's stream. */
+/** An event of an engine's stream, not validated. */
 interface EngineEvent {
   readonly id?: unknown;
   readonly offset?: unknown;
@@ -12,21 +15,21 @@
   readonly usage?: Partial<Usage>;
 }
 
-/** What a reader should do after an event. */
+/** What the reader of a stream does after an event. */
 export const STREAM_STEPS = {
-  GO_ON: "go_on",
-  /** The end mark was read: the answer is whole. */
-  WHOLE: "whole",
-  /** Something is missing or foreign: resume from the offset. */
+  CONTINUE: "go_on",
+  /** The end marker was read: the answer is complete. */
+  COMPLETE: "whole",
+  /** An event is missing, foreign or malformed: resume from the offset. */
   BROKEN: "broken",
 } as const;
 
 /** One of {@linkcode STREAM_STEPS}. */
 export type StreamStep = typeof STREAM_STEPS[keyof typeof STREAM_STEPS];
 
-const END_MARK = "[DONE]";
+const END_MARKER = "[DONE]";
 
-/** Text, end and usage of one stream; repeated and foreign events do no harm. */
+/** Text, finish reason and usage of one stream. */
 export class EngineStream {
   readonly #streamId: string;
   readonly #onText: (text: string) => void;
@@ -39,10 +42,10 @@
     this.#onText = onText;
   }
 
-  /** Takes one data text. */
-  take(data: string): StreamStep {
-    if (data === END_MARK) {
-      return this.finish === "" ? STREAM_STEPS.BROKEN : STREAM_STEPS.WHOLE;
+  /** Processes the data of one event. */
+  processData(data: string): StreamStep {
+    if (data === END_MARKER) {
+      return this.finish === "" ? STREAM_STEPS.BROKEN : STREAM_STEPS.COMPLETE;
     }
     const event = parseEvent(data);
     if (event === undefined || event.id !== this.#streamId) {
@@ -50,7 +53,7 @@
     }
     if (
       typeof event.text === "string" &&
-      !this.#takeText(event.text, event.offset)
+      !this.#appendText(event.text, event.offset)
     ) {
       return STREAM_STEPS.BROKEN;
     }
@@ -58,15 +61,15 @@
       this.finish = event.finish;
       this.usage = { ...NO_USAGE, ...event.usage };
     }
-    return STREAM_STEPS.GO_ON;
+    return STREAM_STEPS.CONTINUE;
   }
 
-  #takeText(text: string, offset: unknown): boolean {
+  #appendText(text: string, offset: unknown): boolean {
     if (typeof offset !== "number" || offset > this.text.length) return false;
-    const fresh = text.slice(this.text.length - offset);
-    if (fresh === "") return true;
-    this.text += fresh;
-    this.#onText(fresh);
+    const newText = text.slice(this.text.length - offset);
+    if (newText === "") return true;
+    this.text += newText;
+    this.#onText(newText);
     return true;
   }
 }
--- a/packages/sidecar/src/upstream/event_lines.ts
+++ b/packages/sidecar/src/upstream/event_lines.ts
@@ -1,27 +1,31 @@
-/** Reads the data lines of a server-sent event stream. */
+/** Reads the data lines of a stream of server-sent events. */
 
 import { StringDecoder } from "node:string_decoder";
 import type { Buffer } from "node:buffer";
 
 const MAX_LINE_LENGTH = 1_048_576;
 
-/** Splits a byte stream into the texts after "data:". */
+/** Splits a byte stream into lines and extracts the values after "data:". */
 export class EventLineReader {
   readonly #decoder = new StringDecoder("utf8");
-  #rest = "";
+  #partialLine = "";
 
-  /** Takes bytes and returns the data texts that are now whole. */
+  /**
+   * Adds bytes and returns the data values of the lines that they complete.
+   *
+   * @throws {Error} if an incomplete line exceeds the maximum length
+   */
   push(bytes: Buffer): readonly string[] {
-    const text = this.#rest + this.#decoder.write(bytes);
+    const text = this.#partialLine + this.#decoder.write(bytes);
     const lines = text.split("\n");
-    this.#rest = lines.pop() ?? "";
-    if (this.#rest.length > MAX_LINE_LENGTH) {
-      throw new Error("An event line is too long");
+    this.#partialLine = lines.pop() ?? "";
+    if (this.#partialLine.length > MAX_LINE_LENGTH) {
+      throw new Error("An event line exceeds the maximum length");
     }
-    const texts: string[] = [];
+    const values: string[] = [];
     for (const line of lines) {
-      if (line.startsWith("data:")) texts.push(line.slice(5).trim());
+      if (line.startsWith("data:")) values.push(line.slice(5).trim());
     }
-    return texts;
+    return values;
   }
 }
--- a/packages/sidecar/src/upstream/http_client.ts
+++ b/packages/sidecar/src/upstream/http_client.ts
@@ -1,18 +1,18 @@
-/** Small HTTP helpers over wreck. */
+/** HTTP client for an upstream, based on wreck. */
 
 import { Agent } from "node:http";
 import type { IncomingMessage } from "node:http";
 import Wreck from "@hapi/wreck";
 
-const MAX_ANSWER_BYTES = 64 * 1_024 * 1_024;
+const MAX_RESPONSE_BYTES = 64 * 1_024 * 1_024;
 
-/** An HTTP answer, read whole. */
-export interface HttpAnswer {
+/** An HTTP response with its complete body. */
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** What to send. */
+/** An HTTP request to send. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
@@ -22,20 +22,26 @@
   readonly signal?: AbortSignal;
 }
 
-/** Requests to one base address over kept-alive connections. */
+/** Sends requests to one base address over keep-alive connections. */
 export class HttpClient {
   readonly #baseUrl: string;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: Infinity });
-  /** Calls that must not repeat go over new connections: a reused one may be half closed. */
-  readonly #freshAgent = new Agent({ keepAlive: false, maxSockets: Infinity });
+  /**
+   * For calls that must not be retried: a reused connection may be half
+   * closed, so they use a new one.
+   */
+  readonly #unpooledAgent = new Agent({
+    keepAlive: false,
+    maxSockets: Infinity,
+  });
 
   constructor(baseUrl: string) {
     this.#baseUrl = baseUrl;
   }
 
-  /** Sends a request and returns the answer as soon as its head is there. */
+  /** Sends a request and returns the response once its head has arrived. */
   async open(
-    request: HttpRequest & { readonly fresh?: boolean },
+    request: HttpRequest & { readonly usesNewConnection?: boolean },
   ): Promise<IncomingMessage> {
     const options = {
       baseUrl: this.#baseUrl,
@@ -46,41 +52,45 @@
           : { "content-type": "application/json" },
         ...request.headers,
       },
-      agent: request.fresh ? this.#freshAgent : this.#agent,
+      agent: request.usesNewConnection ? this.#unpooledAgent : this.#agent,
       ...request.timeoutMilliseconds === undefined
         ? {}
         : { timeout: request.timeoutMilliseconds },
     };
-    const sending = Wreck.request(request.method, request.path, options);
+    const pendingResponse = Wreck.request(
+      request.method,
+      request.path,
+      options,
+    );
     const abort = () =>
-      sending.req.destroy(new Error("The request was cancelled"));
+      pendingResponse.req.destroy(new Error("The request was cancelled"));
     request.signal?.addEventListener("abort", abort, { once: true });
     if (request.signal?.aborted) abort();
-    const answer = await sending;
-    answer.on(
+    const response = await pendingResponse;
+    response.on(
       "close",
       () => request.signal?.removeEventListener("abort", abort),
     );
-    return answer;
+    return response;
   }
 
-  /** Sends a request and reads the whole answer. */
+  /** Sends a request and reads the complete response. */
   async send(
-    request: HttpRequest & { readonly fresh?: boolean },
-  ): Promise<HttpAnswer> {
-    const answer = await this.open(request);
+    request: HttpRequest & { readonly usesNewConnection?: boolean },
+  ): Promise<HttpResponse> {
+    const response = await this.open(request);
     const timeout = request.timeoutMilliseconds === undefined
       ? {}
       : { timeout: request.timeoutMilliseconds };
-    const body = await Wreck.read(answer, {
+    const body = await Wreck.read(response, {
       ...timeout,
-      maxBytes: MAX_ANSWER_BYTES,
+      maxBytes: MAX_RESPONSE_BYTES,
     });
-    return { status: answer.statusCode ?? 0, body: String(body) };
+    return { status: response.statusCode ?? 0, body: String(body) };
   }
 }
 
-/** True if the error says that no connection was made, so nothing was sent. */
+/** Returns true if the connection was refused, so no request was sent. */
 export function isConnectionRefused(thrown: unknown): boolean {
   let error = thrown as
     | { code?: string; data?: unknown; cause?: unknown }
--- a/packages/sidecar/src/upstream/service_client.ts
+++ b/packages/sidecar/src/upstream/service_client.ts
@@ -1,4 +1,4 @@
-/** Speaks to one instance of a plain service. */
+/** Upstream client for one instance of a service without a model. */
 
 import {
   type Answer,
@@ -17,9 +17,9 @@
   UpstreamRun,
 } from "./upstream_client.ts";
 
-const LOAD_MILLISECONDS = 2_000;
+const HEALTH_TIMEOUT_MILLISECONDS = 2_000;
 
-/** Runs service calls. */
+/** Runs service calls on one instance. */
 export class ServiceClient implements UpstreamClient {
   readonly #http: HttpClient;
   readonly #silentMilliseconds: number;
@@ -33,14 +33,17 @@
   async run(run: UpstreamRun): Promise<Outcome<Answer>> {
     const body = run.request.body;
     if (body.kind !== "service") {
-      return fail(RESULT_CODES.NO_UPSTREAM, "The upstream is a plain service");
+      return fail(
+        RESULT_CODES.NO_UPSTREAM,
+        "The upstream is a service and runs only service calls",
+      );
     }
     try {
-      const answer = await this.#send(run, body);
-      run.onText(answer.body);
+      const response = await this.#send(run, body);
+      run.onText(response.body);
       return Ok({
-        text: answer.body,
-        finish: String(answer.status),
+        text: response.body,
+        finish: String(response.status),
         usage: NO_USAGE,
       });
     } catch (thrown) {
@@ -51,22 +54,25 @@
         );
       }
       if (body.idempotent) {
-        return fail(RESULT_CODES.UPSTREAM_ERROR, "The service broke off");
+        return fail(
+          RESULT_CODES.UPSTREAM_ERROR,
+          "The service call failed before its response was complete",
+        );
       }
       return fail(
         RESULT_CODES.OUTCOME_UNKNOWN,
-        "The service broke off before it answered",
+        "The service call may have run: it failed before its response was complete",
       );
     }
   }
 
-  /** A service reports no load; an answer shows that it lives. */
+  /** Checks that the service responds; services report no load. */
   async readLoad(): Promise<UpstreamLoad | undefined> {
     try {
       await this.#http.send({
         method: "GET",
         path: "/healthz",
-        timeoutMilliseconds: LOAD_MILLISECONDS,
+        timeoutMilliseconds: HEALTH_TIMEOUT_MILLISECONDS,
       });
       return { models: [], stepMilliseconds: 1 };
     } catch {
@@ -74,17 +80,17 @@
     }
   }
 
-  /** A service keeps no memory for programs. */
+  /** Returns nothing: services keep no sessions or cache for programs. */
   readCacheChanges(): Promise<readonly CacheChange[]> {
     return Promise.resolve([]);
   }
 
-  /** A service keeps no memory for programs. */
+  /** Returns nothing: services keep no sessions or cache for programs. */
   listSessions(): Promise<readonly string[]> {
     return Promise.resolve([]);
   }
 
-  /** A service keeps no memory for programs. */
+  /** Does nothing: services keep no sessions or cache for programs. */
   releaseSession(): Promise<void> {
     return Promise.resolve();
   }
@@ -98,7 +104,7 @@
       headers: { "idempotency-key": `${programId}/${requestId}` },
       timeoutMilliseconds: this.#silentMilliseconds,
       signal: run.signal,
-      fresh: !body.idempotent,
+      usesNewConnection: !body.idempotent,
     });
   }
 }
--- a/packages/sidecar/src/upstream/upstream_client.ts
+++ b/packages/sidecar/src/upstream/upstream_client.ts
@@ -1,4 +1,4 @@
-/** How a sidecar speaks to its upstream. */
+/** Interface of the clients through which a sidecar uses its upstream. */
 
 import type {
   Answer,
@@ -7,36 +7,36 @@
   Outcome,
 } from "@mallowlift/core";
 
-/** What an upstream holds for programs. */
+/** Models and step time that an upstream reports. */
 export interface UpstreamLoad {
   readonly models: readonly string[];
   readonly stepMilliseconds: number;
 }
 
-/** One attempt, as the upstream client sees it. */
+/** One attempt to run at the upstream. */
 export interface UpstreamRun {
   readonly request: DispatchRequest;
-  /** Unique over all attempts and starts of the sidecar. */
+  /** Unique across all attempts and restarts of the sidecar. */
   readonly streamId: string;
   /** Aborts when the attempt is cancelled. */
   readonly signal: AbortSignal;
-  /** Takes text as it comes, in order and without gaps. */
+  /** Receives text as it arrives, in order and without gaps. */
   onText(text: string): void;
 }
 
-/** Speaks to one upstream. */
+/** Client of one upstream. */
 export interface UpstreamClient {
   /**
-   * Runs a call. A failure whose code says "not run" is only returned when
-   * the upstream cannot have started it.
+   * Runs a call. A failure has a code with `notRun` only if the upstream
+   * cannot have started the call.
    */
   run(run: UpstreamRun): Promise<Outcome<Answer>>;
-  /** Reads the load; undefined if the upstream does not answer. */
+  /** Reads the load; undefined if the upstream does not respond. */
   readLoad(): Promise<UpstreamLoad | undefined>;
-  /** Cached tokens that changed since the last reading, as far as is known. */
+  /** Reads the known changes of cached tokens since the last call. */
   readCacheChanges(): Promise<readonly CacheChange[]>;
-  /** Programs that the upstream keeps memory for. */
+  /** Lists the programs for which the upstream keeps cached tokens. */
   listSessions(): Promise<readonly string[]>;
-  /** Frees what the upstream keeps for a program. */
+  /** Releases the cached tokens of a program. */
   releaseSession(programId: string): Promise<void>;
 }
