--- a/packages/sidecar/src/attempts/fence.ts
+++ b/packages/sidecar/src/attempts/fence.ts
@@ -33,7 +33,10 @@
     return this.#fencedAt.has(formatAttemptKey(key));
   }
 
-  /** Evicts fences set before a time that no message in flight predates. */
+  /**
+   * Evicts fences set before a time; messages that they fence must no longer
+   * be in flight.
+   */
   evictBefore(cutoff: number): void {
     for (const [key, fencedAt] of this.#fencedAt) {
       if (fencedAt < cutoff) this.#fencedAt.delete(key);
