--- a/packages/sidecar/src/mod.ts
+++ b/packages/sidecar/src/mod.ts
@@ -1,14 +1,14 @@
-/** The sidecar role. */
+/** The sidecar role: the only access to one upstream. */
 
 export * from "./attempts/admission.ts";
 export * from "./attempts/attempt.ts";
 export * from "./attempts/attempt_table.ts";
 export * from "./attempts/fence.ts";
 export * from "./orders/engine_orders.ts";
-export * from "./orders/order_keeper.ts";
+export * from "./orders/order_reconciler.ts";
 export * from "./orders/plan_orders.ts";
 export * from "./reports/reporter.ts";
-export * from "./reports/session_keeper.ts";
+export * from "./reports/session_cleaner.ts";
 export * from "./sidecar_role.ts";
 export * from "./upstream/engine_client.ts";
 export * from "./upstream/engine_stream.ts";
