--- a/packages/bench/src/gateways/burst_recovery_test.ts
+++ b/packages/bench/src/gateways/burst_recovery_test.ts
@@ -1,21 +1,10 @@
 /**
- * Seen: after a burst of turns nothing was served until the end of the day, a
- * document that had been acknowledged could not be read, and a leader a second
- * came and went.
- *
- * How it came about: for some seconds the stores were asked for more than the
- * leader could replicate. From then on each commit took longer than a gateway
- * waits, so the gateways asked again, and again after that.
- *
- * Cause: each of these asks became an entry of its own, with the whole turn in
- * it; nothing bounded what waited at the leader, and what nobody waited for any
- * more was replicated all the same, ahead of all that was asked for later.
- *
- * Proof: the leader's own count. In the second before it lost its quorum it
- * decided 1,658 commands, 660 of them asked for again, and none was still
- * waited for. Here followers that take 400 kB a second stand for whatever is
- * short at a leader; the burst asks for six times that, the calls after it
- * for two thirds.
+ * Guards against a site that stays unavailable after a burst of turns: it loses
+ * its leader again and again, and acknowledged documents cannot be read. Commits
+ * outlast the gateways' timeout, and each retry adds a log entry with the whole
+ * turn. If nothing bounds the queue, the leader first replicates commands whose
+ * callers have all given up: of 1,658 commands in the second before a leader lost
+ * its quorum, 660 were retries, and no caller waited for any of them.
  */
 
 import { performance } from "node:perf_hooks";
@@ -26,33 +15,37 @@
 import { findLeader, readMetrics } from "./store_metrics.ts";
 import { TEST_DOCUMENT } from "./test_document.ts";
 
-/** What a follower takes, bytes a second. */
-const FOLLOWER_BYTES = 400_000;
-/** Input of each turn. */
-const INPUT = "x".repeat(8_000);
+/**
+ * Bandwidth of each follower, bytes per second (400 kB/s). It stands for any
+ * scarce resource of a leader. The burst needs six times as much, the later turns
+ * two thirds.
+ */
+const FOLLOWER_BYTES_PER_SECOND = 400_000;
+/** Input of each turn, 8 kB. */
+const TURN_INPUT = "x".repeat(8_000);
 const BURST_TURNS = 1_000;
-/** Time between two turns of the burst, ms: six times what followers take. */
-const BURST_PAUSE_MILLISECONDS = 3;
+/** Interval of the turns in the burst, ms: six times the followers' bandwidth. */
+const BURST_INTERVAL_MILLISECONDS = 3;
 const LATER_TURNS = 400;
 /**
- * The last of the later turns, which must be served: while the callers of the
- * burst come back, followers cannot take both.
+ * Number of the last turns, of which 95 % must be served. Earlier ones may fail:
+ * the followers cannot carry them beside the retries of the burst.
  */
 const LAST_TURNS = 100;
-/** Time between two later turns, ms: two thirds of what followers take. */
-const LATER_PAUSE_MILLISECONDS = 30;
-/** Longest time of the test, ms; it takes some 20 s. */
-const LIMIT_MILLISECONDS = 120_000;
-/** How long a caller waits, ms. */
-const PATIENCE_MILLISECONDS = 4_000;
-/** How often a caller asks for a turn. */
+/** Interval of the later turns, ms: two thirds of the followers' bandwidth. */
+const LATER_INTERVAL_MILLISECONDS = 30;
+/** Timeout of the test, ms; it usually takes 20 s. */
+const TEST_TIMEOUT_MILLISECONDS = 120_000;
+/** Timeout of a call, ms. */
+const CALL_TIMEOUT_MILLISECONDS = 4_000;
+/** Number of attempts that a caller makes at a turn. */
 const ATTEMPTS = 3;
-/** When a caller asks again if it was not told, ms. */
-const COME_BACK_MILLISECONDS = 250;
-/** Calls for the document, a second each, among which one must be answered. */
-const DOCUMENT_READS = 5;
+/** Delay before a retry if the answer has no retry-after header, ms. */
+const RETRY_MILLISECONDS = 250;
+/** Number of attempts to read the document, one of which must succeed. */
+const DOCUMENT_READ_ATTEMPTS = 5;
 
-/** Sum of a counter over its labels and all stores. */
+/** Returns the sum of a counter over its labels and all stores. */
 async function sumCounter({ site }: TestSite, name: string): Promise<number> {
   const texts = await Promise.all(site.stores.map(readMetrics));
   const lines = texts.join("\n").split("\n");
@@ -61,45 +54,45 @@
   return values.reduce((sum, value) => sum + value, 0);
 }
 
-async function slowFollowers(running: TestSite): Promise<void> {
+async function limitFollowerBandwidth(running: TestSite): Promise<void> {
   const leader = await findLeader(running);
   for (const { name } of running.site.stores) {
     const proxy = running.site.proxies.get(name);
     if (name === leader || proxy === undefined) continue;
-    proxy.faults.bytesPerSecond = FOLLOWER_BYTES;
+    proxy.faults.bytesPerSecond = FOLLOWER_BYTES_PER_SECOND;
   }
 }
 
-/** What became of a turn: served, or how its attempts ended. */
-interface TurnEnd {
+/** Outcome of a turn and of its attempts. */
+interface TurnOutcome {
   readonly isServed: boolean;
   /** Status and time of each attempt, such as "503 after 40 ms". */
   readonly attempts: string;
 }
 
-/** Asks for one turn, and again as callers do, until it is served whole. */
-async function ask(
+/** Calls for one turn, with retries, until it is served in full. */
+async function callUntilServed(
   running: TestSite,
   turn: { readonly name: string; readonly number: number },
-): Promise<TurnEnd> {
+): Promise<TurnOutcome> {
   const attempts: string[] = [];
   for (let attempt = 1; attempt <= ATTEMPTS; attempt++) {
-    const askedAt = performance.now();
-    const seen = await askOnce(running, { ...turn, attempt });
-    const milliseconds = Math.round(performance.now() - askedAt);
-    const cut = seen.whole ? "" : ", cut";
-    attempts.push(`${seen.status}${cut} after ${milliseconds} ms`);
-    if (seen.status === 200 && seen.whole) {
+    const startedAt = performance.now();
+    const result = await attemptTurn(running, { ...turn, attempt });
+    const milliseconds = Math.round(performance.now() - startedAt);
+    const truncation = result.whole ? "" : ", cut";
+    attempts.push(`${result.status}${truncation} after ${milliseconds} ms`);
+    if (result.status === 200 && result.whole) {
       return { isServed: true, attempts: attempts.join("; ") };
     }
-    const told = Number(seen.retryAfter ?? 0) * 1_000;
-    if (attempt < ATTEMPTS) await sleep(told || COME_BACK_MILLISECONDS);
+    const waitMilliseconds = Number(result.retryAfter ?? 0) * 1_000;
+    if (attempt < ATTEMPTS) await sleep(waitMilliseconds || RETRY_MILLISECONDS);
   }
   return { isServed: false, attempts: attempts.join("; ") };
 }
 
-/** Makes one attempt at a turn of a program of its own. */
-function askOnce(
+/** Makes one attempt at a turn; each attempt has its own program. */
+function attemptTurn(
   { site }: TestSite,
   turn: {
     readonly name: string;
@@ -112,35 +105,35 @@
   return callGateway(gateway?.callersUrl ?? "", {
     callId: name,
     path: "/stream/x",
-    body: INPUT,
+    body: TURN_INPUT,
     headers: {
       "x-program": `program-${name}`,
       "x-most-tokens": "6",
-      "x-patience-ms": String(PATIENCE_MILLISECONDS),
+      "x-patience-ms": String(CALL_TIMEOUT_MILLISECONDS),
     },
   });
 }
 
-/** Asks for turns at a fixed pace, whether or not earlier ones were served. */
-async function askAtPace(
+/** Starts turns at a fixed rate, whether or not earlier ones have ended. */
+async function startTurnsAtRate(
   running: TestSite,
   plan: {
     readonly name: string;
     readonly turns: number;
-    readonly pause: number;
+    readonly intervalMilliseconds: number;
   },
-): Promise<{ readonly served: Promise<readonly TurnEnd[]> }> {
-  const asked: Promise<TurnEnd>[] = [];
+): Promise<{ readonly served: Promise<readonly TurnOutcome[]> }> {
+  const outcomes: Promise<TurnOutcome>[] = [];
   for (let number = 0; number < plan.turns; number++) {
-    asked.push(ask(running, { name: plan.name, number }));
-    await sleep(plan.pause);
+    outcomes.push(callUntilServed(running, { name: plan.name, number }));
+    await sleep(plan.intervalMilliseconds);
   }
-  return { served: Promise.all(asked) };
+  return { served: Promise.all(outcomes) };
 }
 
 async function readVersion({ site }: TestSite): Promise<number> {
   const url = `${site.gateways[0]?.operatorsUrl}/v1/routing`;
-  for (let read = 0; read < DOCUMENT_READS; read++) {
+  for (let read = 0; read < DOCUMENT_READ_ATTEMPTS; read++) {
     const answer = await fetch(url).catch(() => undefined);
     if (answer?.ok === true) {
       return ((await answer.json()) as { version: number }).version;
@@ -150,51 +143,62 @@
   return -1;
 }
 
-function count(turns: readonly TurnEnd[]): number {
+function countServed(turns: readonly TurnOutcome[]): number {
   return turns.filter(({ isServed }) => isServed).length;
 }
 
 test("a site comes back from a burst that its leader cannot carry", async (t: Test) => {
-  t.setTimeout(LIMIT_MILLISECONDS);
+  t.setTimeout(TEST_TIMEOUT_MILLISECONDS);
   const running = await startTestSite(t, {
     gateways: 2,
     proxied: true,
     waitMilliseconds: 2_500,
   });
-  await slowFollowers(running);
-  const asking = askAtPace(running, {
+  await limitFollowerBandwidth(running);
+  const burstStarted = startTurnsAtRate(running, {
     name: "burst",
     turns: BURST_TURNS,
-    pause: BURST_PAUSE_MILLISECONDS,
+    intervalMilliseconds: BURST_INTERVAL_MILLISECONDS,
   });
   await sleep(1_000);
   await running.site.putDocument({ ...TEST_DOCUMENT, version: 2 });
-  const burst = await asking;
-  const later = await askAtPace(running, {
+  const burst = await burstStarted;
+  const later = await startTurnsAtRate(running, {
     name: "later",
     turns: LATER_TURNS,
-    pause: LATER_PAUSE_MILLISECONDS,
+    intervalMilliseconds: LATER_INTERVAL_MILLISECONDS,
   });
-  const servedInBurst = count(await burst.served);
+  const servedInBurst = countServed(await burst.served);
   const servedLater = await later.served;
-  const servedLast = count(servedLater.slice(-LAST_TURNS));
+  const servedLast = countServed(servedLater.slice(-LAST_TURNS));
   t.comment(
-    `served: ${servedInBurst} of the burst, ${count(servedLater)} later, ` +
+    `served: ${servedInBurst} of the burst, ${
+      countServed(servedLater)
+    } later, ` +
       `${servedLast} of the last`,
   );
   t.equal(await readVersion(running), 2, "the acknowledged document is read");
   const lost = servedLater.slice(-LAST_TURNS)
     .filter(({ isServed }) => !isServed)
     .map(({ attempts }) => attempts);
-  t.ok(servedLast >= 0.95 * LAST_TURNS, "those after the burst are served", {
+  t.ok(servedLast >= 0.95 * LAST_TURNS, "the last turns are served", {
     servedLast,
-    servedLater: count(servedLater),
+    servedLater: countServed(servedLater),
     lost,
   });
-  const decided = await sumCounter(running, "mallowlift_proposals_total");
-  const unheard = await sumCounter(running, "mallowlift_unheard_answers_total");
-  t.comment(`decided: ${decided}, of these for nobody: ${unheard}`);
-  t.ok(unheard < decided / 10, "what nobody waits for is not worked on");
-  const most = 2 * ATTEMPTS * (BURST_TURNS + LATER_TURNS);
-  t.ok(decided <= most, "a beginning and an end for each attempt, no more");
+  const proposals = await sumCounter(running, "mallowlift_proposals_total");
+  const unawaited = await sumCounter(
+    running,
+    "mallowlift_unheard_answers_total",
+  );
+  t.comment(`proposals: ${proposals}, of which nobody awaited: ${unawaited}`);
+  t.ok(
+    unawaited < proposals / 10,
+    "few proposals are replicated without a waiting caller",
+  );
+  const maxProposals = 2 * ATTEMPTS * (BURST_TURNS + LATER_TURNS);
+  t.ok(
+    proposals <= maxProposals,
+    "at most a begin and an end are proposed for each attempt",
+  );
 });
--- a/packages/bench/src/gateways/failing_upstreams_test.ts
+++ b/packages/bench/src/gateways/failing_upstreams_test.ts
@@ -1,4 +1,4 @@
-/** Calls beside upstreams that answer that they failed. */
+/** Tests of calls while an upstream fails, truncates its streams or stalls. */
 
 import { sleep } from "@mallowlift/core";
 import { describeEvent, type OpaqueUpstream } from "@mallowlift/mocks";
@@ -7,24 +7,24 @@
 import { startTestSite } from "./start_test_site.ts";
 
 const CALLS = 20;
-const LOOK_MILLISECONDS = 50;
-/** Longer than the silence after which a stream goes on elsewhere. */
-const STANDING_MILLISECONDS = 3_000;
+const POLL_MILLISECONDS = 50;
+/** Longer than the idle time after which a stream is resumed elsewhere. */
+const STALL_MILLISECONDS = 3_000;
 
-interface Running {
+interface FailingSite {
   readonly url: string;
   readonly failing: OpaqueUpstream;
-  readonly sound: OpaqueUpstream;
+  readonly healthy: OpaqueUpstream;
 }
 
 /** Starts one site for all tests of this file. */
-async function start(t: Test): Promise<Running> {
+async function start(t: Test): Promise<FailingSite> {
   const { upstreams, url } = await startTestSite(t, { upstreams: 2 });
-  const [failing, sound] = upstreams;
-  if (failing === undefined || sound === undefined) {
-    throw new Error("No upstreams");
+  const [failing, healthy] = upstreams;
+  if (failing === undefined || healthy === undefined) {
+    throw new Error("The site has no upstreams");
   }
-  return { url, failing, sound };
+  return { url, failing, healthy };
 }
 
 function describeStream(prompt: string, events: number): string {
@@ -35,8 +35,8 @@
   return stream;
 }
 
-/** Calls side by side, so that both upstreams are likely to get some. */
-function streamSideBySide(url: string): Promise<readonly CallSeen[]> {
+/** Makes concurrent calls, so that both upstreams are likely to get some. */
+function streamConcurrently(url: string): Promise<readonly CallSeen[]> {
   return Promise.all(
     Array.from({ length: CALLS }, (_, call) =>
       callGateway(url, {
@@ -47,35 +47,35 @@
   );
 }
 
-async function testRepeatable(
+async function testIdempotent(
   t: Test,
-  { url, failing }: Running,
+  { url, failing }: FailingSite,
 ): Promise<void> {
   failing.faults.fails = true;
   for (let call = 0; call < CALLS; call++) {
-    const seen = await callGateway(url, {
+    const result = await callGateway(url, {
       callId: `r-${call}`,
       path: "/read/x",
     });
-    t.equal(seen.status, 200);
+    t.equal(result.status, 200);
   }
   t.ok(failing.runs.length < CALLS / 2, `${failing.runs.length} runs failed`);
 }
 
 async function testOnce(
   t: Test,
-  { url, failing, sound }: Running,
+  { url, failing, healthy }: FailingSite,
 ): Promise<void> {
   failing.faults.fails = true;
   let failures = 0;
   for (let call = 0; call < CALLS; call++) {
     const callId = `w-${call}`;
-    const seen = await callGateway(url, { callId, path: "/write/x" });
-    if (seen.status === 500) {
+    const result = await callGateway(url, { callId, path: "/write/x" });
+    if (result.status === 500) {
       failures++;
-      t.equal(seen.body, "failed");
+      t.equal(result.body, "failed");
     }
-    const runs = [...failing.runs, ...sound.runs].filter((run) =>
+    const runs = [...failing.runs, ...healthy.runs].filter((run) =>
       run.callId === callId
     );
     t.equal(runs.length, 1);
@@ -85,72 +85,73 @@
 
 async function testResumed(
   t: Test,
-  { url, failing, sound }: Running,
+  { url, failing, healthy }: FailingSite,
 ): Promise<void> {
   failing.faults.cutsAfter = 2;
   failing.events = 6;
-  sound.events = 6;
+  healthy.events = 6;
   while (failing.runs.length === 0) {
-    for (const seen of await streamSideBySide(url)) {
-      t.equal(seen.status, 200);
-      t.ok(seen.whole);
-      t.equal(seen.body, describeStream("prompt", 6));
+    for (const result of await streamConcurrently(url)) {
+      t.equal(result.status, 200);
+      t.ok(result.whole);
+      t.equal(result.body, describeStream("prompt", 6));
     }
   }
 }
 
-async function testStanding(
+async function testStalled(
   t: Test,
-  { url, failing, sound }: Running,
+  { url, failing, healthy }: FailingSite,
 ): Promise<void> {
-  failing.faults.pauseMilliseconds = STANDING_MILLISECONDS;
+  failing.faults.pauseMilliseconds = STALL_MILLISECONDS;
   while (failing.runs.length === 0) {
-    for (const seen of await streamSideBySide(url)) {
-      t.ok(seen.whole);
-      t.equal(seen.body, describeStream("prompt", sound.events));
+    for (const result of await streamConcurrently(url)) {
+      t.ok(result.whole);
+      t.equal(result.body, describeStream("prompt", healthy.events));
     }
   }
 }
 
-async function testBroken(
+async function testCutOff(
   t: Test,
-  { url, failing, sound }: Running,
+  { url, failing, healthy }: FailingSite,
 ): Promise<void> {
-  for (const upstream of [failing, sound]) upstream.faults.cutsAfter = 1;
-  const seen = await callGateway(url, {
+  for (const upstream of [failing, healthy]) upstream.faults.cutsAfter = 1;
+  const result = await callGateway(url, {
     callId: "s",
     path: "/stream/x",
     body: "prompt",
   });
-  t.notOk(seen.whole);
-  t.equal(failing.runs.length + sound.runs.length, 1);
+  t.notOk(result.whole);
+  t.equal(failing.runs.length + healthy.runs.length, 1);
 }
 
-test("upstreams that fail", async (t) => {
+test("failing upstreams", async (t) => {
   const running = await start(t);
-  const { failing, sound } = running;
-  const usual = { ...sound.faults };
+  const { failing, healthy } = running;
+  const initialFaults = { ...healthy.faults };
   t.beforeEach(async () => {
-    for (const upstream of [failing, sound]) {
-      Object.assign(upstream.faults, usual);
+    for (const upstream of [failing, healthy]) {
+      Object.assign(upstream.faults, initialFaults);
       upstream.runs.length = 0;
       upstream.events = 3;
     }
-    // Until the rest that the last test's failures brought is over.
+    // Wait until the failing upstream gets calls again: the failures of the
+    // previous test keep it out of use for a while.
     while (failing.runs.length === 0) {
-      await streamSideBySide(running.url);
-      await sleep(LOOK_MILLISECONDS);
+      await streamConcurrently(running.url);
+      await sleep(POLL_MILLISECONDS);
     }
-    for (const upstream of [failing, sound]) upstream.runs.length = 0;
+    for (const upstream of [failing, healthy]) upstream.runs.length = 0;
   });
-  await t.test("what may be repeated goes on to an upstream that works", (t) =>
-    testRepeatable(t, running));
-  await t.test("what may run once gets the failure unaltered, and is not run again", (t) =>
+  await t.test("an idempotent call is retried at a healthy upstream", (t) =>
+    testIdempotent(t, running));
+  await t.test("a call that may run only once gets the failure unaltered and is not retried", (t) =>
     testOnce(t, running));
-  await t.test("a stream that may be resumed goes on elsewhere, each event once", (t) =>
+  await t.test("a resumable stream continues elsewhere with each event once", (t) =>
     testResumed(t, running));
-  await t.test("a stream that stands still goes on elsewhere if it may be resumed", (t) =>
-    testStanding(t, running));
-  await t.test("a stream that may not be resumed is broken off where its upstream did", (t) =>
-    testBroken(t, running));
+  await t.test("a resumable stream that stalls continues elsewhere", (t) =>
+    testStalled(t, running));
+  await t.test("a stream that is not resumable ends where its upstream cut it", (t) =>
+    testCutOff(t, running));
 });
--- a/packages/bench/src/gateways/gateway_answers_test.ts
+++ b/packages/bench/src/gateways/gateway_answers_test.ts
@@ -6,15 +6,15 @@
 import { TEST_DOCUMENT } from "./test_document.ts";
 import { countRuns } from "./turn_caller.ts";
 
-test("only what did not run is refused, and only what may repeat is sent again", async (t) => {
+test("a refused call runs elsewhere, and only an idempotent call is sent again after a lost answer", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   const url = running.site.gateways[0]?.callersUrl ?? "";
-  const [one, two] = running.upstreams;
-  if (one === undefined || two === undefined) throw new Error("No upstreams");
-  one.faults.isFull = true;
+  const [busy, free] = running.upstreams;
+  if (busy === undefined || free === undefined) throw new Error("No upstreams");
+  busy.faults.isFull = true;
   const sent = await callGateway(url, { callId: "w1", path: "/write/x" });
   t.equal(sent.body, "ran w1");
-  one.faults.isFull = false;
+  busy.faults.isFull = false;
   for (const upstream of running.upstreams) upstream.faults.losesAnswers = true;
   const lost = await callGateway(url, { callId: "w2", path: "/write/x" });
   t.equal(lost.status, 502);
@@ -23,13 +23,13 @@
   const read = await callGateway(url, { callId: "r1", path: "/read/x" });
   t.equal(read.status, 502);
   t.equal(countRuns(running, "r1"), 2);
-  const nowhere = await callGateway(url, { callId: "n1", path: "/nowhere/" });
-  t.equal(nowhere.status, 404);
+  const unknown = await callGateway(url, { callId: "n1", path: "/nowhere/" });
+  t.equal(unknown.status, 404);
 });
 
-test("silence ends an attempt only where another one may follow", async (t) => {
+test("a silent upstream ends an attempt only if another attempt may follow", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
-  // Longer than the silence that sends an idempotent request elsewhere.
+  // Longer than the silence after which an idempotent request goes elsewhere.
   for (const upstream of running.upstreams) {
     upstream.faults.silentMilliseconds = 1_500;
   }
@@ -40,31 +40,31 @@
   t.equal(countRuns(running, "r"), 2, "the route allows two attempts");
 });
 
-test("the highest document wins, and an invalid one changes nothing", async (t) => {
+test("the highest document version wins, and an invalid document changes nothing", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   const url = `${running.site.gateways[0]?.operatorsUrl}/v1/routing`;
   const put = async (document: RoutingDocument) =>
     (await fetch(url, { method: "PUT", body: JSON.stringify(document) }))
       .status;
-  const without = { ...TEST_DOCUMENT, version: 5, routes: [] };
-  t.equal(await put(without), 200);
+  const withoutRoutes = { ...TEST_DOCUMENT, version: 5, routes: [] };
+  t.equal(await put(withoutRoutes), 200);
   t.equal(await put({ ...TEST_DOCUMENT, version: 4 }), 200);
   t.equal(await put({ ...TEST_DOCUMENT, version: 5 }), 200);
   t.equal(await put({ ...TEST_DOCUMENT, version: 6, services: [] }), 400);
-  t.same(await (await fetch(url)).json(), without);
+  t.same(await (await fetch(url)).json(), withoutRoutes);
   const callers = running.site.gateways[0]?.callersUrl ?? "";
   for (let round = 0; round < 100; round++) {
-    const seen = await callGateway(callers, {
+    const result = await callGateway(callers, {
       callId: `r${round}`,
       path: "/read/x",
     });
-    if (seen.status === 404) return t.pass("the route is gone");
+    if (result.status === 404) return t.pass("the route is gone");
     await sleep(50);
   }
   t.fail("the new document is not in force");
 });
 
-test("an answer of any size is passed on, and one that is cut does not look whole", async (t) => {
+test("a large answer is streamed in full, and a truncated one does not look complete", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   const url = running.site.gateways[0]?.callersUrl ?? "";
   const whole = await callGateway(url, { callId: "l-1", path: "/read/large" });
@@ -76,7 +76,11 @@
   const cut = await callGateway(url, { callId: "l-2", path: "/read/large" });
   t.equal(cut.status, 200);
   t.notOk(cut.whole);
-  t.equal(countRuns(running, "l-2"), 1, "what was begun is not begun again");
+  t.equal(
+    countRuns(running, "l-2"),
+    1,
+    "an answer that has begun is not retried",
+  );
 });
 
 test("a caller that reads slowly gets the whole answer", async (t) => {
@@ -89,7 +93,7 @@
       headers: { host: "a.example", "x-call-id": "s-1" },
     }, (answer) => {
       t.equal(answer.headers["content-length"], String(size));
-      // The gateway has to stop reading from the upstream meanwhile.
+      // Reading later makes the gateway pause the upstream (backpressure).
       setTimeout(() => {
         let length = 0;
         answer.on("data", (bytes: Uint8Array) => length += bytes.length);
--- a/packages/bench/src/gateways/gateway_caller.ts
+++ b/packages/bench/src/gateways/gateway_caller.ts
@@ -1,43 +1,44 @@
-/** A caller of a gateway in the native dialect, for tests. */
+/** Calls a gateway in the native dialect, for tests. */
 
 import { type IncomingMessage, request } from "node:http";
 
-/** What a caller sends. */
-export interface CallPlan {
+/** A request of a caller. */
+export interface CallRequest {
   readonly callId: string;
   readonly path: string;
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Aborts to leave before the answer is whole. */
+  /** Aborts the request before the answer is complete. */
   readonly signal?: AbortSignal;
 }
 
-/** What a caller saw. */
+/** The result of a call, as its caller sees it. */
 export interface CallSeen {
-  /** 0 if no head came. */
+  /** HTTP status; 0 if no response head arrived. */
   readonly status: number;
   readonly body: string;
-  /** True if the answer ended as HTTP says. */
+  /** True if the answer is complete by the rules of HTTP. */
   readonly whole: boolean;
+  /** The retry-after header, s. */
   readonly retryAfter: string | undefined;
-  /** How to authenticate, where that is missing. */
+  /** The www-authenticate header of a call that was not authenticated. */
   readonly challenge?: string | undefined;
 }
 
-/** Makes one request on a connection of its own. */
-export function callGateway(url: string, plan: CallPlan): Promise<CallSeen> {
+/** Makes one request on a new connection; a failed one has the status 0. */
+export function callGateway(url: string, call: CallRequest): Promise<CallSeen> {
   return new Promise((resolve) => {
-    const nothing = {
+    const noAnswer = {
       status: 0,
       body: "",
       whole: false,
       retryAfter: undefined,
     };
-    const outgoing = request(`${url}${plan.path}`, {
+    const outgoing = request(`${url}${call.path}`, {
       method: "POST",
       agent: false,
-      signal: plan.signal,
-      headers: { host: "a.example", "x-call-id": plan.callId, ...plan.headers },
+      signal: call.signal,
+      headers: { host: "a.example", "x-call-id": call.callId, ...call.headers },
     }, (answer: IncomingMessage) => {
       let body = "";
       answer.on("data", (bytes) => body += String(bytes));
@@ -51,7 +52,7 @@
           challenge: answer.headers["www-authenticate"],
         }));
     });
-    outgoing.on("error", () => resolve(nothing));
-    outgoing.end(plan.body ?? "");
+    outgoing.on("error", () => resolve(noAnswer));
+    outgoing.end(call.body ?? "");
   });
 }
--- a/packages/bench/src/gateways/gateway_control_test.ts
+++ b/packages/bench/src/gateways/gateway_control_test.ts
@@ -10,18 +10,21 @@
 
 const SCRIPT = require.resolve("@mallowlift/cli/bin/mallowctl.js");
 
-interface Ended {
+interface CommandResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
 }
 
-function run(entry: string, words: readonly string[]): Promise<Ended> {
+function runMallowctl(
+  entry: string,
+  commandArguments: readonly string[],
+): Promise<CommandResult> {
   const env = { ...process.env, MALLOWCTL_ENTRY: entry };
   return new Promise((resolve) => {
     execFile(
       process.execPath,
-      [SCRIPT, ...words],
+      [SCRIPT, ...commandArguments],
       { env },
       (error, output, errors) =>
         resolve({
@@ -33,18 +36,19 @@
   });
 }
 
-test("an operator reads and replaces the document, and empties a store", async (t) => {
+test("an operator reads and replaces the document, and retires a store", async (t) => {
   const { site, folder } = await startTestSite(t, { stores: 4 });
   const entry = site.gateways[0]?.operatorsUrl ?? "";
-  const control = (...words: string[]) => run(entry, words);
+  const mallowctl = (...commandArguments: string[]) =>
+    runMallowctl(entry, commandArguments);
 
-  const shown = await control("routing", "show");
+  const shown = await mallowctl("routing", "show");
   t.match(shown.output, /Version 1/);
   t.match(shown.output, /a\.example\/read\//);
   const path = join(folder, "routing.json");
   writeFileSync(path, JSON.stringify({ ...TEST_DOCUMENT, version: 7 }));
   t.match(
-    (await control("routing", "replace", path)).output,
+    (await mallowctl("routing", "replace", path)).output,
     /Version 7 is in force/,
   );
   const workspaces = [{
@@ -55,47 +59,47 @@
   }];
   const withWorkspaces = { ...TEST_DOCUMENT, version: 8, workspaces };
   writeFileSync(path, JSON.stringify(withWorkspaces));
-  await control("routing", "replace", path);
-  const listed = await control("workspaces", "list");
+  await mallowctl("routing", "replace", path);
+  const listed = await mallowctl("workspaces", "list");
   t.match(listed.output, /north +1 +of the route +5 +7/);
   t.notMatch(listed.output, hashText("north-1"));
-  t.match((await control("workspaces", "describe", "north")).output, "north");
-  t.equal((await control("workspaces", "describe", "east")).code, 4);
+  t.match((await mallowctl("workspaces", "describe", "north")).output, "north");
+  t.equal((await mallowctl("workspaces", "describe", "east")).code, 4);
   writeFileSync(path, JSON.stringify({ ...TEST_DOCUMENT, version: 3 }));
   t.match(
-    (await control("routing", "replace", path)).output,
+    (await mallowctl("routing", "replace", path)).output,
     /Version 8 was newer/,
   );
   writeFileSync(
     path,
     JSON.stringify({ ...TEST_DOCUMENT, version: 9, services: [] }),
   );
-  const invalid = await control("routing", "replace", path);
+  const invalid = await mallowctl("routing", "replace", path);
   t.equal(invalid.code, 1);
   t.match(invalid.errors, /INVALID_DOCUMENT/);
 
   writeFileSync(path, JSON.stringify({ ...TEST_DOCUMENT, version: 10 }));
-  await control("routing", "replace", path);
+  await mallowctl("routing", "replace", path);
 
-  const unknown = await control("store", "retire", "nobody");
+  const unknown = await mallowctl("store", "retire", "nobody");
   t.match(unknown.errors, /DAEMON_NOT_FOUND/);
   const name = site.stores[0]?.name ?? "";
-  t.equal((await control("store", "retire", name)).code, 0);
+  t.equal((await mallowctl("store", "retire", name)).code, 0);
   t.equal(
-    (await control("store", "retire", name)).code,
+    (await mallowctl("store", "retire", name)).code,
     0,
-    "the same order again",
+    "retiring a store again succeeds",
   );
-  const other = site.stores[1]?.name ?? "";
-  const tooFew = await control("store", "retire", other);
+  const secondName = site.stores[1]?.name ?? "";
+  const tooFew = await mallowctl("store", "retire", secondName);
   t.match(tooFew.errors, /TOO_FEW_STORES/);
-  let state = await control("store", "retirement", name);
-  while (!state.output.includes("may be taken away")) {
+  let retirement = await mallowctl("store", "retirement", name);
+  while (!retirement.output.includes("may be taken away")) {
     await sleep(100);
-    state = await control("store", "retirement", name);
+    retirement = await mallowctl("store", "retirement", name);
   }
   if (site.stores[0] !== undefined) await site.kill(site.stores[0], true);
   const url = site.gateways[0]?.callersUrl ?? "";
   const served = await callGateway(url, { callId: "a", path: "/stream/x" });
-  t.equal(served.status, 200, "the others serve without it");
+  t.equal(served.status, 200, "the remaining stores serve without it");
 });
--- a/packages/bench/src/gateways/gateway_recovery_test.ts
+++ b/packages/bench/src/gateways/gateway_recovery_test.ts
@@ -3,7 +3,7 @@
 import { callGateway } from "./gateway_caller.ts";
 import { startTestSite } from "./start_test_site.ts";
 
-test("after a loss of everything the first request that is taken is served", async (t) => {
+test("after all daemons are killed, the first request that is accepted is served", async (t) => {
   const running = await startTestSite(t, {
     upstreams: 2,
     waitMilliseconds: 60_000,
@@ -15,8 +15,8 @@
   for (const daemon of site.daemons) site.restart(daemon);
   let status = 0;
   while (status === 0) {
-    const seen = await callGateway(url, { callId: "first", path: "/read/x" });
-    status = seen.status;
+    const result = await callGateway(url, { callId: "first", path: "/read/x" });
+    status = result.status;
     await sleep(20);
   }
   t.equal(status, 200);
@@ -25,7 +25,7 @@
 test("a spare store that lost its disk is ready again", async (t) => {
   const { site } = await startTestSite(t, { stores: 4, upstreams: 2 });
   const spare = site.stores.at(-1);
-  if (spare === undefined) throw new Error("There is no store");
+  if (spare === undefined) throw new Error("The site has no store");
   await site.kill(spare, true);
   site.restart(spare);
   t.ok(await site.waitUntilCounts(spare, 30_000));
--- a/packages/bench/src/gateways/gateway_site.ts
+++ b/packages/bench/src/gateways/gateway_site.ts
@@ -1,4 +1,4 @@
-/** A small site of gateways and stores in processes of their own, for tests. */
+/** Starts a small site of gateway and store processes, for tests. */
 
 import { randomUUID } from "node:crypto";
 import { mkdirSync, rmSync, writeFileSync } from "node:fs";
@@ -14,10 +14,10 @@
   SITE_KEY,
 } from "../site/site_plan.ts";
 
-/** Time in which a site must be ready, ms; far above what it takes. */
+/** Timeout for a site to become ready, ms; far above the usual time. */
 const READY_MILLISECONDS = 60_000;
-const LOOK_MILLISECONDS = 50;
-/** Longest wait for a word on health, ms. */
+const POLL_MILLISECONDS = 50;
+/** Timeout of a health request, ms. */
 const HEALTH_MILLISECONDS = 2_000;
 
 /** One gateway or store. */
@@ -30,7 +30,7 @@
   readonly healthUrl: string;
 }
 
-/** What a site is made of. */
+/** Size and settings of a site. */
 export interface GatewaySitePlan {
   readonly folder: string;
   readonly gateways: number;
@@ -38,29 +38,29 @@
   readonly upstreams: readonly OpaqueUpstream[];
   /** How long a request waits for a leader or a document, ms. */
   readonly waitMilliseconds?: number;
-  /** Puts a proxy before each daemon and each upstream. */
+  /** True to put a fault proxy in front of each daemon and each upstream. */
   readonly proxied?: boolean;
-  /** Stores that may be lost at once; usually 1. */
+  /** Number of stores that may fail at the same time; 1 by default. */
   readonly tolerance?: number;
-  /** Time between two readings of the instance list, ms; a test is in a hurry. */
+  /** Time between two reads of the instance list, ms; short by default for fast tests. */
   readonly listMilliseconds?: number;
-  /** Time between two exchanges of the directory, ms; a test is in a hurry. */
+  /** Time between two directory exchanges, ms; short by default for fast tests. */
   readonly directoryMilliseconds?: number;
-  /** Largest internal frame, bytes; usually as the settings have it. */
+  /** Largest internal frame, bytes; by default that of the settings schema. */
   readonly maxFrameBytes?: number;
-  /** More keys of the settings of gateways. */
+  /** Additional keys of the gateways' settings. */
   readonly gatewaySettings?: Readonly<Record<string, string | number>>;
 }
 
-/** Gateways and stores with an instance list in a file. */
+/** Gateways, and stores that read their instance list from a file. */
 export class GatewaySite {
   readonly gateways: SiteDaemon[] = [];
   readonly stores: SiteDaemon[] = [];
-  /** Proxies before daemons and upstreams, by name; none unless planned. */
+  /** Fault proxies of daemons and upstreams, by name; empty unless `proxied` is set. */
   readonly proxies = new Map<string, FaultProxy>();
   readonly #plan: GatewaySitePlan;
   readonly #key = randomUUID();
-  /** Ports of each daemon: for other daemons, health, callers, operators. */
+  /** Ports of each daemon, in order: other daemons, health, callers, operators. */
   readonly #ports = new Map<string, readonly number[]>();
   #seeds = "";
 
@@ -68,7 +68,7 @@
     this.#plan = plan;
   }
 
-  /** Starts a site and puts a document in force. */
+  /** Starts a site, puts a document in force, and waits until all daemons are ready. */
   static async start(
     plan: GatewaySitePlan,
     document: RoutingDocument,
@@ -91,7 +91,7 @@
     return [...this.gateways, ...this.stores];
   }
 
-  /** Writes the instance list. */
+  /** Writes the instance list; the ids in `leaving` are marked as leaving. */
   listUpstreams(leaving: readonly string[] = []): void {
     const instances: UpstreamInstance[] = this.#plan.upstreams.map((
       upstream,
@@ -106,7 +106,7 @@
     writeFileSync(this.#listPath, JSON.stringify(instances));
   }
 
-  /** Sends a document until it is acknowledged. */
+  /** Sends a document until it is acknowledged; throws after a timeout. */
   async putDocument(document: RoutingDocument): Promise<void> {
     const url = `${this.gateways[0]?.operatorsUrl}/v1/routing`;
     const until = Date.now() + READY_MILLISECONDS;
@@ -116,28 +116,28 @@
         body: JSON.stringify(document),
       }).catch(() => undefined);
       if (answer?.ok === true) return;
-      await sleep(LOOK_MILLISECONDS);
+      await sleep(POLL_MILLISECONDS);
     }
-    throw new Error("The document was not acknowledged");
+    throw new Error("The routing document was not acknowledged in time");
   }
 
-  /** Waits until every running daemon says that it is ready. */
+  /** Waits until every running daemon is ready; throws after a timeout. */
   async waitUntilReady(): Promise<void> {
     const until = Date.now() + READY_MILLISECONDS;
     for (const daemon of this.daemons) {
       while (daemon.process.isRunning && !await isReady(daemon)) {
         if (Date.now() > until) throw new Error(`${daemon.name} is not ready`);
-        await sleep(LOOK_MILLISECONDS);
+        await sleep(POLL_MILLISECONDS);
       }
     }
   }
 
-  /** True if a daemon says that it is ready. */
+  /** True if a daemon runs and reports that it is ready. */
   async isReady(daemon: SiteDaemon): Promise<boolean> {
     return daemon.process.isRunning && await isReady(daemon);
   }
 
-  /** Waits until a store counts; false if it does not in time. */
+  /** Waits until a store is ready; false if the limit passes first. */
   async waitUntilCounts(
     store: SiteDaemon,
     limitMilliseconds: number,
@@ -145,36 +145,36 @@
     const until = Date.now() + limitMilliseconds;
     while (Date.now() < until) {
       if (await this.isReady(store)) return true;
-      await sleep(LOOK_MILLISECONDS);
+      await sleep(POLL_MILLISECONDS);
     }
     return false;
   }
 
-  /** Waits until a daemon says anything of its health. */
+  /** Waits, up to a limit, until a daemon answers health requests, ready or not. */
   async waitUntilHeard(
     daemon: SiteDaemon,
     limitMilliseconds: number,
   ): Promise<void> {
     const until = Date.now() + limitMilliseconds;
     while (Date.now() < until) {
-      if (await askHealth(daemon) !== undefined) return;
-      await sleep(LOOK_MILLISECONDS);
+      if (await fetchHealth(daemon) !== undefined) return;
+      await sleep(POLL_MILLISECONDS);
     }
   }
 
-  /** Kills a daemon; an empty disk if asked for; does not start it. */
+  /** Kills a daemon, and deletes its data if `loseDisk` is set. */
   async kill(daemon: SiteDaemon, loseDisk = false): Promise<void> {
     await daemon.process.kill();
     if (loseDisk) rmSync(daemon.dataFolder, { recursive: true });
   }
 
-  /** Starts a daemon again, as one that is not started for the first time. */
+  /** Restarts a daemon, with `first_start` set to no. */
   restart(daemon: SiteDaemon): void {
     this.#writeSettings(daemon, "no");
     daemon.process.start();
   }
 
-  /** Kills everything. */
+  /** Kills all daemons and stops the proxies. */
   async stop(): Promise<void> {
     for (const daemon of this.daemons) await daemon.process.kill();
     for (const proxy of this.proxies.values()) await proxy.stop();
@@ -210,7 +210,7 @@
     this.proxies.set(name, proxy);
   }
 
-  /** Where other daemons reach one. */
+  /** Address at which other daemons reach a daemon. */
   #findAddress(name: string): string {
     const [listen] = this.#ports.get(name) ?? [];
     return this.proxies.get(name)?.address ?? `127.0.0.1:${listen}`;
@@ -232,7 +232,7 @@
       network: {
         listen: `127.0.0.1:${listen}`,
         advertise: this.#findAddress(daemon.name),
-        // Daemons that an interrupted run left behind must stay strangers.
+        // A unique key excludes daemons that an interrupted run left behind.
         shared_key: `${SITE_KEY}-${this.#key}`,
         seeds: this.#seeds,
         directory_milliseconds: this.#plan.directoryMilliseconds ?? 200,
@@ -281,11 +281,11 @@
 }
 
 async function isReady(daemon: SiteDaemon): Promise<boolean> {
-  return await askHealth(daemon) === true;
+  return await fetchHealth(daemon) === true;
 }
 
-/** What a daemon says of its health; undefined if it says nothing. */
-async function askHealth(daemon: SiteDaemon): Promise<boolean | undefined> {
+/** True if a daemon is ready, false if not; undefined if it does not answer. */
+async function fetchHealth(daemon: SiteDaemon): Promise<boolean | undefined> {
   try {
     const answer = await fetch(daemon.healthUrl, {
       signal: AbortSignal.timeout(HEALTH_MILLISECONDS),
@@ -293,7 +293,7 @@
     await answer.arrayBuffer();
     return answer.ok;
   } catch {
-    // A daemon that does not answer is down, frozen, or not yet up.
+    // The daemon is down, frozen, or still starting.
     return undefined;
   }
 }
--- a/packages/bench/src/gateways/gateway_stop_test.ts
+++ b/packages/bench/src/gateways/gateway_stop_test.ts
@@ -4,7 +4,7 @@
 import { startTestSite } from "./start_test_site.ts";
 import { askTurn, countRuns } from "./turn_caller.ts";
 
-test("a gateway that is asked to stop finishes its streams", async (t) => {
+test("a stopping gateway finishes its streams", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   const { site, upstreams } = running;
   for (const upstream of upstreams) {
@@ -17,23 +17,23 @@
   }
   const gateway = site.gateways[0];
   t.equal(await gateway?.process.stop(), 0);
-  const seen = await stream;
-  t.equal(seen.status, 200);
-  t.ok(seen.whole);
+  const result = await stream;
+  t.equal(result.status, 200);
+  t.ok(result.whole);
 });
 
-test("a gateway that stops takes no late request that it might have to cut", async (t) => {
+test("a stopping gateway accepts no late request that it might have to abort", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   const { site } = running;
   const [gateway] = site.gateways;
-  if (gateway === undefined) throw new Error("No gateway");
-  // The stream goes on well after the gateway has stopped taking requests.
+  if (gateway === undefined) throw new Error("The site has no gateway");
+  // The stream lasts well beyond the time when the gateway stops accepting requests.
   for (const upstream of running.upstreams) {
     upstream.events = 100;
     upstream.faults.pauseMilliseconds = 50;
   }
   let isStreaming = true;
-  const streaming = askTurn(running, { id: "long" }).finally(() => {
+  const longStream = askTurn(running, { id: "long" }).finally(() => {
     isStreaming = false;
   });
   while (countRuns(running, "long") === 0) await sleep(10);
@@ -49,30 +49,30 @@
       path: "/read/x",
     });
   }
-  t.ok(isStreaming, "late requests are turned away while a stream goes on");
-  const seen = await streaming;
-  t.ok(seen.whole, "the stream is finished");
+  t.ok(isStreaming, "late requests are refused while the stream still runs");
+  const result = await longStream;
+  t.ok(result.whole, "the stream is complete");
   await stopped;
 });
 
-test("a caller that leaves is felt at the upstream", async (t) => {
+test("the upstream connection closes when the caller disconnects", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   const { upstreams } = running;
   for (const upstream of upstreams) {
     upstream.events = 10_000;
     upstream.faults.pauseMilliseconds = 10;
   }
-  const leave = new AbortController();
+  const disconnect = new AbortController();
   const url = running.site.gateways[0]?.callersUrl ?? "";
   const call = callGateway(url, {
     callId: "a",
     path: "/stream/x",
-    signal: leave.signal,
+    signal: disconnect.signal,
   });
   while (upstreams.every((upstream) => upstream.runs.length === 0)) {
     await sleep(10);
   }
-  leave.abort();
+  disconnect.abort();
   await call;
   while (upstreams.every((upstream) => upstream.left.length === 0)) {
     await sleep(10);
--- a/packages/bench/src/gateways/gateway_turns_test.ts
+++ b/packages/bench/src/gateways/gateway_turns_test.ts
@@ -9,7 +9,7 @@
   findPrompt,
 } from "./turn_caller.ts";
 
-test("a history grows over gateways, forks, and is never mixed", async (t) => {
+test("a history spans gateways, forks, and is never mixed with another", async (t) => {
   const running = await startTestSite(t, { gateways: 2, upstreams: 2 });
   t.equal((await askTurn(running, { id: "a" })).status, 200);
   const promptA = "input-a;";
@@ -28,7 +28,7 @@
   t.equal(countRuns(running, "e"), 0);
 });
 
-test("a budget spans gateways, and a refused turn never runs", async (t) => {
+test("a budget holds across gateways, and a refused turn never runs", async (t) => {
   const running = await startTestSite(t, { gateways: 2, upstreams: 2 });
   const budget = 10;
   t.equal((await askTurn(running, { id: "a", budget })).status, 200);
@@ -41,12 +41,12 @@
   t.equal(other.status, 200);
 });
 
-test("a broken stream does not look whole, is not kept, and counts what was sent", async (t) => {
+test("a truncated stream does not look complete, is not stored, and its sent tokens count", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
   for (const upstream of running.upstreams) upstream.faults.cutsAfter = 2;
-  const seen = await askTurn(running, { id: "a", budget: 5 });
-  t.equal(seen.status, 200);
-  t.notOk(seen.whole);
+  const result = await askTurn(running, { id: "a", budget: 5 });
+  t.equal(result.status, 200);
+  t.notOk(result.whole);
   t.equal(countRuns(running, "a"), 1, "a stream runs at most once");
   for (const upstream of running.upstreams) upstream.faults.cutsAfter = 99;
   t.equal((await askTurn(running, { id: "b", previous: "a" })).status, 404);
@@ -55,13 +55,13 @@
   t.equal((await askTurn(running, { id: "d", budget: 5 })).status, 402);
 });
 
-test("what callers were told survives the loss of any store, its disk, and all power", async (t) => {
+test("served turns survive the loss of any store, its disk, and all power", async (t) => {
   const running = await startTestSite(t, { gateways: 2, upstreams: 2 });
   const { site } = running;
   let previous = "";
   let prompt = "";
   let round = 0;
-  const grow = async () => {
+  const addTurn = async () => {
     const id = `t${round++}`;
     await askTurnUntilServed(running, {
       id,
@@ -75,17 +75,17 @@
     previous = run?.callId ?? "";
     prompt = expected + describeOutput(expected, 3);
   };
-  await grow();
+  await addTurn();
   for (const store of site.stores) {
     await site.kill(store, true);
-    await grow();
+    await addTurn();
     site.restart(store);
     await site.waitUntilReady();
-    await grow();
+    await addTurn();
   }
   for (const daemon of site.daemons) daemon.process.signal("SIGKILL");
   for (const daemon of site.daemons) await daemon.process.waitForExit();
   for (const daemon of site.daemons) site.restart(daemon);
   await site.waitUntilReady();
-  await grow();
+  await addTurn();
 });
--- a/packages/bench/src/gateways/large_document_test.ts
+++ b/packages/bench/src/gateways/large_document_test.ts
@@ -1,20 +1,9 @@
 /**
- * Seen: an operator added 1,400 routes to 1,450 and got no clear answer. Turns
- * failed from that second on, four to six seconds later no gateway was ready,
- * and the smallest never came back; they said that routes were not there.
- *
- * How it came about: a document came in, was replicated, and went out to each
- * gateway as one message. On a narrow way that takes longer than an answer may.
- *
- * Cause: what was late was thrown away and asked for again from its start, while
- * the first copy still filled the way; and whoever had waited for it held the
- * leader for lost, with all turns that went over the same connection.
- *
- * Proof: half a minute after the document the gateways with 21 Mbit/s still
- * decided by the one before it, and each time that it was sent again the leader
- * had 1.2 MB unsent for every member and lost its place. Here, with ways of
- * 21 Mbit/s and 5,600 routes, no attempt is ever acknowledged; a gateway that
- * starts behind a way of 3.2 Mbit/s never gets a document of 1,400 routes.
+ * Guards against a large routing document that gateways behind slow links never
+ * receive, seen with 1,400 routes added to 1,450. If a transfer that outlasts the
+ * answer timeout is discarded and requested again, each copy queues behind the
+ * one before (1.2 MB unsent at the leader per member), and if the waiting gateway
+ * considers the leader lost, its turns fail and the leader loses its leadership.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -27,181 +16,200 @@
 import { addRoutes, findAddedPlace, TEST_DOCUMENT } from "./test_document.ts";
 import { askTurn } from "./turn_caller.ts";
 
-/** Way of the smallest gateways of the sites, bytes a second: 21 Mbit/s. */
-const NARROW_WAY = 21_000_000 / 8;
-/** A way on which 1,400 routes take longer than a held answer may, bytes a second. */
-const NARROWEST_WAY = 400_000;
-/** Input that takes 2.25 s on the narrowest way. */
+/**
+ * Bandwidth of the smallest gateways, bytes per second: 21 Mbit/s. A document with
+ * 5,600 routes was never acknowledged over such links.
+ */
+const SLOW_LINK_BYTES_PER_SECOND = 21_000_000 / 8;
+/**
+ * Bandwidth at which 1,400 routes take longer than a long-poll answer may, bytes per
+ * second: 3.2 Mbit/s.
+ */
+const SLOWEST_LINK_BYTES_PER_SECOND = 400_000;
+/** Input that takes 2.25 s at the lowest bandwidth. */
 const LONG_INPUT_BYTES = 900_000;
-/** Longest time of a test, ms; on a quiet machine each takes some seconds. */
-const LIMIT_MILLISECONDS = 120_000;
-/** Time in which what must come in the end has to come, ms. */
-const PATIENCE_MILLISECONDS = 20_000;
-const LOOK_MILLISECONDS = 100;
-/** Least time that an operator's tool waits for an answer, ms. */
-const OPERATOR_MILLISECONDS = 1_000;
-/** What an operator's tool waits longer for each route, ms. */
-const OPERATOR_ROUTE_MILLISECONDS = 3;
-/** Time between two turns beside a change, ms. */
-const TURN_PAUSE_MILLISECONDS = 50;
+/** Timeout of a test, ms; on an idle machine each takes a few seconds. */
+const TEST_TIMEOUT_MILLISECONDS = 120_000;
+/** Timeout for conditions that must become true eventually, ms. */
+const EVENTUAL_TIMEOUT_MILLISECONDS = 20_000;
+const POLL_MILLISECONDS = 100;
+/** Timeout of an operator's tool for an answer, ms, without any routes. */
+const OPERATOR_TIMEOUT_MILLISECONDS = 1_000;
+/** Additional timeout of an operator's tool for each route, ms. */
+const OPERATOR_TIMEOUT_PER_ROUTE_MILLISECONDS = 3;
+/** Interval of the turns that run during a test, ms. */
+const TURN_INTERVAL_MILLISECONDS = 50;
 
 function createDocument(version: number, added: number): RoutingDocument {
   return addRoutes({ ...TEST_DOCUMENT, version }, added);
 }
 
-function narrowWays({ site }: TestSite, bytesPerSecond: number): void {
+function limitBandwidth({ site }: TestSite, bytesPerSecond: number): void {
   for (const proxy of site.proxies.values()) {
     proxy.faults.bytesPerSecond = bytesPerSecond;
   }
 }
 
-/** Sends a document as an operator's tool does, to one gateway after the other. */
-async function replace(
+/**
+ * Sends a document as an operator's tool does, to each gateway in turn, and returns
+ * the status of the first answer below 500, or 0.
+ */
+async function replaceDocument(
   { site }: TestSite,
   document: RoutingDocument,
 ): Promise<number> {
-  const until = Date.now() + PATIENCE_MILLISECONDS;
-  const patience = OPERATOR_MILLISECONDS +
-    OPERATOR_ROUTE_MILLISECONDS * document.routes.length;
-  for (let attempt = 0; Date.now() < until; attempt++) {
+  const deadline = Date.now() + EVENTUAL_TIMEOUT_MILLISECONDS;
+  const timeoutMilliseconds = OPERATOR_TIMEOUT_MILLISECONDS +
+    OPERATOR_TIMEOUT_PER_ROUTE_MILLISECONDS * document.routes.length;
+  for (let attempt = 0; Date.now() < deadline; attempt++) {
     const gateway = site.gateways[attempt % site.gateways.length];
     const answer = await fetch(`${gateway?.operatorsUrl}/v1/routing`, {
       method: "PUT",
       body: JSON.stringify(document),
-      signal: AbortSignal.timeout(patience),
+      signal: AbortSignal.timeout(timeoutMilliseconds),
     }).catch(() => undefined);
     const status = answer?.status ?? 0;
     if (status >= 200 && status < 500) return status;
-    await sleep(LOOK_MILLISECONDS);
+    await sleep(POLL_MILLISECONDS);
   }
   return 0;
 }
 
-/** True once a gateway serves a route that was added. */
-async function isInForce(
+/** Waits until a gateway serves an added route; false after a timeout. */
+async function waitUntilInForce(
   gateway: SiteDaemon,
   number: number,
 ): Promise<boolean> {
-  const until = Date.now() + PATIENCE_MILLISECONDS;
+  const deadline = Date.now() + EVENTUAL_TIMEOUT_MILLISECONDS;
   const { host, pathPrefix } = findAddedPlace(number);
-  for (let attempt = 0; Date.now() < until; attempt++) {
-    const seen = await callGateway(gateway.callersUrl, {
+  for (let attempt = 0; Date.now() < deadline; attempt++) {
+    const result = await callGateway(gateway.callersUrl, {
       callId: `${gateway.name}-${number}-${attempt}`,
       path: `${pathPrefix}x`,
       headers: { host, "x-patience-ms": "2000" },
     });
-    if (seen.status === 200) return true;
-    await sleep(LOOK_MILLISECONDS);
+    if (result.status === 200) return true;
+    await sleep(POLL_MILLISECONDS);
   }
   return false;
 }
 
-/** Asks for a turn now and then at every gateway; ends with how many failed. */
-function keepAskingTurns(running: TestSite): {
+/** Starts turns at all gateways at a fixed rate; `stop` returns their statuses. */
+function startBackgroundTurns(running: TestSite): {
   readonly stop: () => Promise<readonly number[]>;
 } {
-  let isOver = false;
-  const asked: Promise<number>[] = [];
+  let isStopped = false;
+  const pendingStatuses: Promise<number>[] = [];
   const run = async () => {
-    for (let number = 0; !isOver; number++) {
+    for (let number = 0; !isStopped; number++) {
       const gateway = number % running.site.gateways.length;
       const turn = { id: `turn-${number}`, program: `p-${number}`, gateway };
-      asked.push(askTurn(running, turn).then((seen) => seen.status));
-      await sleep(TURN_PAUSE_MILLISECONDS);
+      pendingStatuses.push(
+        askTurn(running, turn).then((result) => result.status),
+      );
+      await sleep(TURN_INTERVAL_MILLISECONDS);
     }
   };
-  const asking = run();
+  const starting = run();
   const stop = async () => {
-    isOver = true;
-    await asking;
-    return await Promise.all(asked);
+    isStopped = true;
+    await starting;
+    return await Promise.all(pendingStatuses);
   };
   return { stop };
 }
 
-test("a large document reaches every gateway, and no turn is lost", async (t: Test) => {
-  t.setTimeout(LIMIT_MILLISECONDS);
+test("a large document reaches every gateway, and no turn fails", async (t: Test) => {
+  t.setTimeout(TEST_TIMEOUT_MILLISECONDS);
   const running = await startTestSite(t, { gateways: 4, proxied: true });
-  narrowWays(running, NARROW_WAY);
-  const turns = keepAskingTurns(running);
+  limitBandwidth(running, SLOW_LINK_BYTES_PER_SECOND);
+  const turns = startBackgroundTurns(running);
   t.equal(
-    await replace(running, createDocument(2, 5_600)),
+    await replaceDocument(running, createDocument(2, 5_600)),
     200,
     "acknowledged",
   );
   for (const gateway of running.site.gateways) {
-    t.ok(await isInForce(gateway, 5_599), `in force at ${gateway.name}`);
+    t.ok(await waitUntilInForce(gateway, 5_599), `in force at ${gateway.name}`);
   }
   const statuses = await turns.stop();
-  const lost = statuses.filter((status) => status !== 200);
-  t.equal(lost.length, 0, `of ${statuses.length} turns beside it`);
+  const failed = statuses.filter((status) => status !== 200);
+  t.equal(failed.length, 0, `failed of ${statuses.length} concurrent turns`);
 });
 
-test("a gateway behind a narrow way gets a large document", async (t: Test) => {
-  t.setTimeout(LIMIT_MILLISECONDS);
+test("a gateway behind a slow link gets a large document", async (t: Test) => {
+  t.setTimeout(TEST_TIMEOUT_MILLISECONDS);
   const running = await startTestSite(t, { gateways: 2, proxied: true });
   t.equal(
-    await replace(running, createDocument(2, 1_400)),
+    await replaceDocument(running, createDocument(2, 1_400)),
     200,
     "acknowledged",
   );
   const [, second] = running.site.gateways;
-  if (second === undefined) throw new Error("There is no second gateway");
+  if (second === undefined) throw new Error("The site has no second gateway");
   await running.site.kill(second);
-  narrowWays(running, NARROWEST_WAY);
+  limitBandwidth(running, SLOWEST_LINK_BYTES_PER_SECOND);
   running.site.restart(second);
-  t.ok(await isInForce(second, 1_399), "in force after a start");
+  t.ok(await waitUntilInForce(second, 1_399), "in force after the restart");
 });
 
-test("a document larger than a frame may be is refused at its sender", async (t: Test) => {
-  t.setTimeout(LIMIT_MILLISECONDS);
+test("a document that exceeds the frame size is refused by its sender", async (t: Test) => {
+  t.setTimeout(TEST_TIMEOUT_MILLISECONDS);
   const running = await startTestSite(t, { maxFrameBytes: 1_048_576 });
-  const refused = await replace(running, createDocument(2, 5_600));
-  t.equal(refused, 413, "too large, and said so");
+  const refused = await replaceDocument(running, createDocument(2, 5_600));
+  t.equal(refused, 413, "refused as too large");
   const turn = await askTurn(running, { id: "after" });
-  t.equal(turn.status, 200, "a turn after it is served");
-  t.equal(await replace(running, createDocument(3, 100)), 200, "a smaller one");
+  t.equal(turn.status, 200, "a later turn is served");
+  t.equal(
+    await replaceDocument(running, createDocument(3, 100)),
+    200,
+    "a smaller document is accepted",
+  );
 });
 
 /*
- * The same cause with a turn instead of a document: its end carries its whole
- * input to the leader in one message. Each attempt was given up after 400 ms and
- * made again behind the copies before it, and all turns of the gateway with it.
+ * Guards against the same failure with a turn: its end carries the whole input to
+ * the leader in one message. If each attempt is aborted after 400 ms and retried
+ * behind the earlier copies, all turns of the gateway fail.
  */
-test("a turn whose input takes long on a narrow way is kept", async (t: Test) => {
-  t.setTimeout(LIMIT_MILLISECONDS);
+test("a turn whose input takes long over a slow link is stored", async (t: Test) => {
+  t.setTimeout(TEST_TIMEOUT_MILLISECONDS);
   const running = await startTestSite(t, { proxied: true });
-  const way = running.site.proxies.get(await findLeader(running));
-  if (way === undefined) throw new Error("The leader has no proxy");
-  way.faults.bytesPerSecond = NARROWEST_WAY;
-  const turns = keepAskingTurns(running);
-  const seen = await callGateway(running.url, {
+  const proxy = running.site.proxies.get(await findLeader(running));
+  if (proxy === undefined) throw new Error("The leader has no proxy");
+  proxy.faults.bytesPerSecond = SLOWEST_LINK_BYTES_PER_SECOND;
+  const turns = startBackgroundTurns(running);
+  const result = await callGateway(running.url, {
     callId: "long",
     path: "/stream/x",
     body: "x".repeat(LONG_INPUT_BYTES),
     headers: { "x-program": "p", "x-most-tokens": "6" },
   });
-  t.equal(seen.status, 200);
-  t.ok(seen.whole, "kept, and its answer is whole");
-  const lost = (await turns.stop()).filter((status) => status !== 200);
-  t.equal(lost.length, 0, "turns beside it are served");
+  t.equal(result.status, 200);
+  t.ok(result.whole, "stored, and its answer is complete");
+  const failed = (await turns.stop()).filter((status) => status !== 200);
+  t.equal(failed.length, 0, "concurrent turns are served");
 });
 
 /*
- * Seen beside it: gateways that the document had not reached answered that its
- * routes were not there, half a minute after it had been acknowledged.
+ * Guards against gateways that answer 404 for routes of an acknowledged document
+ * because they have not received it, as seen half a minute after it was acknowledged.
  */
-test("a gateway that hears no leader does not say that a route is missing", async (t: Test) => {
-  t.setTimeout(LIMIT_MILLISECONDS);
+test("a gateway without contact to a leader does not answer that a route is unknown", async (t: Test) => {
+  t.setTimeout(TEST_TIMEOUT_MILLISECONDS);
   const { site } = await startTestSite(t, { waitMilliseconds: 500 });
   const [gateway] = site.gateways;
-  if (gateway === undefined) throw new Error("There is no gateway");
-  const ask = (callId: string) =>
+  if (gateway === undefined) throw new Error("The site has no gateway");
+  const callUnknownRoute = (callId: string) =>
     callGateway(gateway.callersUrl, { callId, path: "/unknown/x" });
-  t.equal((await ask("before")).status, 404, "it knows the newest document");
+  t.equal(
+    (await callUnknownRoute("before")).status,
+    404,
+    "the gateway knows the newest document",
+  );
   for (const store of site.stores) await site.kill(store);
-  while (await site.isReady(gateway)) await sleep(LOOK_MILLISECONDS);
-  const seen = await ask("after");
-  t.equal(seen.status, 503, "it cannot know");
-  t.ok(Number(seen.retryAfter) > 0, "and says when to come back");
+  while (await site.isReady(gateway)) await sleep(POLL_MILLISECONDS);
+  const result = await callUnknownRoute("after");
+  t.equal(result.status, 503, "the gateway cannot know the newest document");
+  t.ok(Number(result.retryAfter) > 0, "the refusal has a retry-after header");
 });
--- a/packages/bench/src/gateways/leaving_upstream_test.ts
+++ b/packages/bench/src/gateways/leaving_upstream_test.ts
@@ -3,42 +3,44 @@
 import { callGateway } from "./gateway_caller.ts";
 import { startTestSite, type TestSite } from "./start_test_site.ts";
 
-/** Calls by which an upstream of two counts as unused. */
+/** Number of concurrent calls; an upstream that gets none of them counts as unused. */
 const CALLS_AT_ONCE = 20;
-/** Longest wait for the gateway to learn of it, also on a busy machine. */
-const LIMIT_MILLISECONDS = 30_000;
-const PAUSE_MILLISECONDS = 100;
+/**
+ * Timeout for the gateway to learn of the leaving upstream, ms, long enough
+ * for a busy machine.
+ */
+const LEARN_TIMEOUT_MILLISECONDS = 30_000;
+const POLL_MILLISECONDS = 100;
 
 /**
- * True if none of the calls reaches the first upstream, and all are answered.
- * They are made at once: single calls stay with the upstream whose connection
- * is open.
+ * True if all calls are served and none reaches the first upstream. The calls are
+ * concurrent, because single calls stay with the upstream whose connection is open.
  */
 async function isUnused({ url, upstreams }: TestSite): Promise<boolean> {
   const [leaving] = upstreams;
-  const before = leaving?.runs.length;
+  const earlierRuns = leaving?.runs.length;
   const calls = Array.from({ length: CALLS_AT_ONCE }, (_, call) => {
-    const callId = `${before}-${call}-${Date.now()}`;
+    const callId = `${earlierRuns}-${call}-${Date.now()}`;
     return callGateway(url, { callId, path: "/read/x" });
   });
-  const seen = await Promise.all(calls);
-  return seen.every(({ status }) => status === 200) &&
-    leaving?.runs.length === before;
+  const results = await Promise.all(calls);
+  return results.every(({ status }) => status === 200) &&
+    leaving?.runs.length === earlierRuns;
 }
 
-// Guards against calls to an upstream that left while the stores had no leader.
+// Guards against calls to an upstream that leaves while the stores have no leader.
 test("calls stop going to a leaving upstream while the stores have no leader", async (t: Test) => {
-  t.setTimeout(2 * LIMIT_MILLISECONDS);
+  t.setTimeout(2 * LEARN_TIMEOUT_MILLISECONDS);
   const running = await startTestSite(t, { upstreams: 2 });
   const { site } = running;
-  t.notOk(await isUnused(running), "both upstreams get calls");
+  t.notOk(await isUnused(running), "both upstreams get calls at first");
   for (const store of site.stores.slice(1)) await site.kill(store);
   site.listUpstreams(["u-1"]);
-  const until = Date.now() + LIMIT_MILLISECONDS;
-  let isLeft = false;
-  while (!isLeft && Date.now() < until) {
-    isLeft = await isUnused(running);
-    await sleep(PAUSE_MILLISECONDS);
+  const deadline = Date.now() + LEARN_TIMEOUT_MILLISECONDS;
+  let isAvoided = false;
+  while (!isAvoided && Date.now() < deadline) {
+    isAvoided = await isUnused(running);
+    await sleep(POLL_MILLISECONDS);
   }
-  t.ok(isLeft, "the upstream that leaves gets no call");
+  t.ok(isAvoided, "the leaving upstream gets no more calls");
 });
--- a/packages/bench/src/gateways/start_test_site.ts
+++ b/packages/bench/src/gateways/start_test_site.ts
@@ -1,4 +1,4 @@
-/** Starts a site of gateways and stores for one test, and ends it afterwards. */
+/** Starts a site of gateways and stores for one test, and stops it afterwards. */
 
 import type { RoutingDocument } from "@mallowlift/core";
 import { OpaqueUpstream } from "@mallowlift/mocks";
@@ -6,39 +6,39 @@
 import { GatewaySite } from "./gateway_site.ts";
 import { TEST_DOCUMENT } from "./test_document.ts";
 
-/** How large the site is. */
+/** Size and settings of a test site. */
 export interface TestSitePlan {
-  /** Usually 1. */
+  /** Number of gateways; 1 by default. */
   readonly gateways?: number;
-  /** Usually 3. */
+  /** Number of stores; 3 by default. */
   readonly stores?: number;
-  /** Usually 1. */
+  /** Number of upstreams; 1 by default. */
   readonly upstreams?: number;
   /** How long a request waits for a leader or a document, ms. */
   readonly waitMilliseconds?: number;
-  /** Puts a proxy before each daemon and each upstream. */
+  /** True to put a fault proxy in front of each daemon and each upstream. */
   readonly proxied?: boolean;
-  /** Largest internal frame, bytes; usually as the settings have it. */
+  /** Largest internal frame, bytes; by default that of the settings schema. */
   readonly maxFrameBytes?: number;
-  /** More keys of the settings of gateways. */
+  /** Additional keys of the gateways' settings. */
   readonly gatewaySettings?: Readonly<Record<string, string | number>>;
-  /** Document in force at the start; usually {@linkcode TEST_DOCUMENT}. */
+  /** Initial routing document; {@linkcode TEST_DOCUMENT} by default. */
   readonly document?: RoutingDocument;
 }
 
-/** A site that runs. */
+/** A running site with its upstreams. */
 export interface TestSite {
   readonly site: GatewaySite;
   /** Named u-1, u-2 and so on. */
   readonly upstreams: readonly OpaqueUpstream[];
-  /** Where the first gateway serves callers. */
+  /** URL at which the first gateway serves callers. */
   readonly url: string;
-  /** Folder of the site's data and logs. */
+  /** Folder with the site's data and logs. */
   readonly folder: string;
 }
 
 /**
- * Starts a site with {@linkcode TEST_DOCUMENT} in force.
+ * Starts a site and stops it when the test ends.
  *
  * @example
  * ```ts
@@ -57,8 +57,8 @@
   );
   for (const upstream of upstreams) await upstream.start();
   const started: GatewaySite[] = [];
-  // Tear-downs run in order: daemons write until they stop, and a folder that
-  // is written to cannot be removed.
+  // Teardown handlers run in the order of their registration. This one comes before
+  // that of t.testdir(), because a folder to which daemons write cannot be removed.
   t.teardown(async () => {
     for (const running of started) await running.stop();
     for (const upstream of upstreams) upstream.stop();
--- a/packages/bench/src/gateways/store_metrics.ts
+++ b/packages/bench/src/gateways/store_metrics.ts
@@ -1,19 +1,19 @@
-/** Looks at the metrics of a test site's stores. */
+/** Reads the metrics of a test site's stores. */
 
 import type { SiteDaemon } from "./gateway_site.ts";
 import type { TestSite } from "./start_test_site.ts";
 
-/** All metrics of a store, as text. */
+/** Returns all metrics of a store in the text format. */
 export async function readMetrics(store: SiteDaemon): Promise<string> {
   const url = store.healthUrl.replace("healthz", "metrics");
   return await (await fetch(url)).text();
 }
 
-/** Name of the store that leads; throws if none does. */
+/** Returns the name of the leader of group 0; throws if no store leads it. */
 export async function findLeader({ site }: TestSite): Promise<string> {
   for (const store of site.stores) {
     const text = await readMetrics(store);
     if (/mallowlift_leading\{group="0"\} 1/.test(text)) return store.name;
   }
-  throw new Error("No store leads");
+  throw new Error("No store is the leader of group 0");
 }
--- a/packages/bench/src/gateways/test_document.ts
+++ b/packages/bench/src/gateways/test_document.ts
@@ -1,4 +1,4 @@
-/** The routing document of the gateway tests. */
+/** Creates routing documents for the gateway tests. */
 
 import type { RoutingDocument } from "@mallowlift/core";
 
@@ -14,10 +14,10 @@
   prefersSameUpstream: false,
 };
 
-/** Hosts over which added routes are spread. */
+/** Number of hosts among which added routes are distributed. */
 const ADDED_HOSTS = 97;
 
-/** Reads, writes and streams, each below a prefix of its own. */
+/** Routes for reads, writes and streams, each with its own path prefix. */
 export const TEST_DOCUMENT: RoutingDocument = {
   version: 1,
   routes: [
@@ -54,8 +54,8 @@
 };
 
 /**
- * A document with so many routes more, each at a place of its own and with two
- * targets.
+ * Returns a copy of a document with `count` more routes, each with its own path
+ * prefix and two targets.
  *
  * @example
  * ```ts
@@ -76,7 +76,7 @@
   return { ...document, routes: [...document.routes, ...added] };
 }
 
-/** Where the requests of a route of {@linkcode addRoutes} go. */
+/** Returns host and path prefix of a route that {@linkcode addRoutes} adds. */
 export function findAddedPlace(
   number: number,
 ): { readonly host: string; readonly pathPrefix: string } {
--- a/packages/bench/src/gateways/turn_caller.ts
+++ b/packages/bench/src/gateways/turn_caller.ts
@@ -1,10 +1,10 @@
-/** Asks for turns at a test site, and looks at what upstreams ran. */
+/** Calls turns at a test site, and finds what its upstreams ran. */
 
 import { sleep } from "@mallowlift/core";
 import { callGateway, type CallSeen } from "./gateway_caller.ts";
 import type { TestSite } from "./start_test_site.ts";
 
-/** Asks for a turn of a program whose history is kept. */
+/** Calls a turn on the route that keeps history; its input is `input-ID;`. */
 export function askTurn(
   { site }: TestSite,
   turn: {
@@ -33,20 +33,23 @@
   });
 }
 
-/** Asks again for as long as the answer promises that nothing ran. */
+/** Retries a turn under new ids until it is served; throws after 100 attempts. */
 export async function askTurnUntilServed(
   running: TestSite,
   turn: Parameters<typeof askTurn>[1],
 ): Promise<CallSeen> {
-  for (let round = 0; round < 100; round++) {
-    const seen = await askTurn(running, { ...turn, id: `${turn.id}-${round}` });
-    if (seen.status === 200 && seen.whole) return seen;
+  for (let attempt = 0; attempt < 100; attempt++) {
+    const result = await askTurn(running, {
+      ...turn,
+      id: `${turn.id}-${attempt}`,
+    });
+    if (result.status === 200 && result.whole) return result;
     await sleep(100);
   }
-  throw new Error("The turn was never served");
+  throw new Error("The turn was not served within 100 attempts");
 }
 
-/** What an upstream got as the prompt of a call. */
+/** Returns the prompt that an upstream got for a call, or "not run". */
 export function findPrompt({ upstreams }: TestSite, callId: string): string {
   for (const upstream of upstreams) {
     for (const run of upstream.runs) if (run.callId === callId) return run.body;
@@ -54,7 +57,7 @@
   return "not run";
 }
 
-/** How often upstreams ran a call. */
+/** Returns how many times upstreams ran a call. */
 export function countRuns({ upstreams }: TestSite, callId: string): number {
   let count = 0;
   for (const upstream of upstreams) {
--- a/packages/bench/src/gateways/workspaces_test.ts
+++ b/packages/bench/src/gateways/workspaces_test.ts
@@ -5,10 +5,12 @@
 import { TEST_DOCUMENT } from "./test_document.ts";
 
 const REVOCATION_MILLISECONDS = 1_500;
-const REVOCATION = { revocation_milliseconds: REVOCATION_MILLISECONDS };
-const SPAN_SECONDS = 2;
+const REVOCATION_SETTINGS = {
+  revocation_milliseconds: REVOCATION_MILLISECONDS,
+};
+const QUOTA_WINDOW_SECONDS = 2;
 
-/** A document with two workspaces; each has a key of its name and number. */
+/** Creates a document with two workspaces. A key is the workspace name and a number. */
 function createDocument(
   version: number,
   options: {
@@ -29,7 +31,7 @@
   };
 }
 
-interface Asked {
+interface WorkspaceCall {
   readonly id: string;
   readonly key?: string;
   readonly path?: string;
@@ -37,17 +39,17 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-function ask({ site }: TestSite, asked: Asked): Promise<CallSeen> {
-  const url = site.gateways[asked.gateway ?? 0]?.callersUrl ?? "";
+function sendCall({ site }: TestSite, call: WorkspaceCall): Promise<CallSeen> {
+  const url = site.gateways[call.gateway ?? 0]?.callersUrl ?? "";
   return callGateway(url, {
-    callId: asked.id,
-    path: asked.path ?? "/read/x",
+    callId: call.id,
+    path: call.path ?? "/read/x",
     body: "b",
     headers: {
-      ...(asked.key === undefined
+      ...(call.key === undefined
         ? {}
-        : { authorization: `Bearer ${asked.key}` }),
-      ...asked.headers,
+        : { authorization: `Bearer ${call.key}` }),
+      ...call.headers,
     },
   });
 }
@@ -58,18 +60,22 @@
   );
 }
 
-// Guards against a key that reaches an upstream, and a workspace that a caller claims.
+// Guards against forwarding a key to an upstream, and against a workspace header that
+// a caller forges.
 test("an upstream gets the name of the workspace and never the key", async (t) => {
   const running = await startTestSite(t, { document: createDocument(1) });
-  const none = await ask(running, { id: "none" });
+  const none = await sendCall(running, { id: "none" });
   t.equal(none.status, 401);
   t.equal(none.challenge, "Bearer");
-  t.equal((await ask(running, { id: "wrong", key: "north-9" })).status, 401);
+  t.equal(
+    (await sendCall(running, { id: "wrong", key: "north-9" })).status,
+    401,
+  );
   t.equal(findRun(running, "none"), undefined);
   t.equal(findRun(running, "wrong"), undefined);
 
   const forged = { "X-Workspace": "south", "x-other": "kept" };
-  const served = await ask(running, {
+  const served = await sendCall(running, {
     id: "served",
     key: "north-2",
     headers: forged,
@@ -79,16 +85,20 @@
   t.equal(headers["x-workspace"], "north");
   t.equal(headers.authorization, undefined);
   t.equal(headers["x-other"], "kept");
-  t.equal(headers["x-priority"], "0", "the workspace goes before the route");
-  await ask(running, { id: "south", key: "south-1" });
+  t.equal(
+    headers["x-priority"],
+    "0",
+    "the priority of the workspace overrides that of the route",
+  );
+  await sendCall(running, { id: "south", key: "south-1" });
   t.equal(findRun(running, "south")?.headers["x-priority"], "1");
 });
 
-// Guards against a history that another workspace goes on from.
-test("a turn of another workspace is as one that does not exist", async (t) => {
+// Guards against a workspace that continues the history of another one.
+test("a turn of another workspace is answered like an unknown one", async (t) => {
   const running = await startTestSite(t, { document: createDocument(1) });
   const turn = (id: string, key: string, previous = "") =>
-    ask(running, {
+    sendCall(running, {
       id,
       key,
       path: "/stream/x",
@@ -116,82 +126,94 @@
     body: JSON.stringify(shared),
   });
   t.equal(answer.status, 400);
-  t.equal((await ask(running, { id: "a", key: "north-1" })).status, 200);
+  t.equal((await sendCall(running, { id: "a", key: "north-1" })).status, 200);
 });
 
-// Guards against a gateway that stood still during a revocation and runs the key after it.
-test("a gateway that was frozen runs no key that was revoked meanwhile", async (t) => {
+// Guards against a gateway that was frozen during a revocation and accepts the key
+// afterwards.
+test("a frozen gateway accepts no key that was revoked meanwhile", async (t) => {
   const running = await startTestSite(t, {
     gateways: 2,
     document: createDocument(1),
-    gatewaySettings: REVOCATION,
+    gatewaySettings: REVOCATION_SETTINGS,
   });
   const { site } = running;
   const frozen = site.gateways[1];
   t.equal(
-    (await ask(running, { id: "a", key: "north-1", gateway: 1 })).status,
+    (await sendCall(running, { id: "a", key: "north-1", gateway: 1 })).status,
     200,
   );
   frozen?.process.signal("SIGSTOP");
   await site.putDocument(createDocument(2, { keys: ["north-2"] }));
   await sleep(REVOCATION_MILLISECONDS);
-  const asked = Array.from({ length: 10 }, (_, number) => `late-${number}`);
-  const answers = asked.map((id) =>
-    ask(running, { id, key: "north-1", gateway: 1 })
+  const lateIds = Array.from({ length: 10 }, (_, number) => `late-${number}`);
+  const answers = lateIds.map((id) =>
+    sendCall(running, { id, key: "north-1", gateway: 1 })
   );
   frozen?.process.signal("SIGCONT");
   for (const { status } of await Promise.all(answers)) t.not(status, 200);
-  for (const id of asked) t.equal(findRun(running, id), undefined);
+  for (const id of lateIds) t.equal(findRun(running, id), undefined);
   await site.waitUntilReady();
   t.equal(
-    (await ask(running, { id: "b", key: "north-2", gateway: 1 })).status,
+    (await sendCall(running, { id: "b", key: "north-2", gateway: 1 })).status,
     200,
   );
 });
 
-// Guards against a gateway that goes on by its document when no quorum confirms it.
-test("without a quorum keys are accepted for a while, and then refused", async (t) => {
+// Guards against a gateway that keeps using its document although no quorum
+// confirms it.
+test("without a quorum keys are accepted for the revocation time, then refused", async (t) => {
   const running = await startTestSite(t, {
     document: createDocument(1),
-    gatewaySettings: REVOCATION,
+    gatewaySettings: REVOCATION_SETTINGS,
     waitMilliseconds: 100,
   });
   const { site, upstreams } = running;
   for (const store of site.stores.slice(0, 2)) await site.kill(store);
-  let last = await ask(running, { id: "first", key: "north-1" });
+  let last = await sendCall(running, { id: "first", key: "north-1" });
   for (let round = 0; last.status !== 503; round++) {
-    last = await ask(running, { id: `again-${round}`, key: "north-1" });
+    last = await sendCall(running, { id: `again-${round}`, key: "north-1" });
     await sleep(20);
   }
   t.ok(Number(last.retryAfter) > 0);
   const gateway = site.gateways[0];
   if (gateway !== undefined) t.notOk(await site.isReady(gateway));
   const runs = upstreams[0]?.runs.length;
-  t.equal((await ask(running, { id: "late", key: "north-1" })).status, 503);
+  t.equal(
+    (await sendCall(running, { id: "late", key: "north-1" })).status,
+    503,
+  );
   t.equal(upstreams[0]?.runs.length, runs);
   for (const store of site.stores.slice(0, 2)) site.restart(store);
   await site.waitUntilReady();
-  t.equal((await ask(running, { id: "back", key: "north-1" })).status, 200);
+  t.equal(
+    (await sendCall(running, { id: "back", key: "north-1" })).status,
+    200,
+  );
 });
 
-// Guards against a new leader that gives again what the old one had given.
-test("a quota holds over all gateways while the leader is killed", async (t) => {
+// Guards against a new leader that grants permits which the old one had already
+// granted.
+test("a quota holds across all gateways while the stores are killed", async (t) => {
   const rate = 20;
   const burst = 10;
   const running = await startTestSite(t, {
     gateways: 3,
     document: createDocument(1, { rate, burst }),
-    gatewaySettings: { quota_window_seconds: SPAN_SECONDS },
+    gatewaySettings: { quota_window_seconds: QUOTA_WINDOW_SECONDS },
   });
   const { site, upstreams } = running;
-  const most = rate * SPAN_SECONDS + burst;
+  const maxAdmitted = rate * QUOTA_WINDOW_SECONDS + burst;
   const startedAt = performance.now();
   const statuses: number[] = [];
   const flood = async (round: string) => {
-    const asked = Array.from({ length: 2 * most }, (_, number) => number);
-    const answers = await Promise.all(asked.map((number) => {
+    const numbers = Array.from(
+      { length: 2 * maxAdmitted },
+      (_, number) => number,
+    );
+    const answers = await Promise.all(numbers.map((number) => {
       const id = `${round}-${number}`;
-      return ask(running, { id, key: "north-1", gateway: number % 3 });
+      return sendCall(running, { id, key: "north-1", gateway: number % 3 });
     }));
     for (const { status } of answers) statuses.push(status);
   };
@@ -200,32 +222,36 @@
   for (const store of site.stores) await store.process.waitForExit();
   for (const store of site.stores) site.restart(store);
   await flood("second");
-  const spans = 1 + (performance.now() - startedAt) / (SPAN_SECONDS * 1_000);
+  const windows = 1 +
+    (performance.now() - startedAt) / (QUOTA_WINDOW_SECONDS * 1_000);
   const runs = upstreams[0]?.runs.length ?? 0;
-  t.ok(statuses.includes(429), "some were beyond the quota");
-  // A permit that a busy machine does not use in time lapses, so that fewer may run.
-  t.ok(runs > 0 && runs <= Math.ceil(spans) * most, `${runs} ran`);
-  t.equal((await ask(running, { id: "s", key: "south-1" })).status, 200);
+  t.ok(statuses.includes(429), "some calls exceeded the quota");
+  // Permits expire if a busy machine does not use them in time; then fewer calls run.
+  t.ok(runs > 0 && runs <= Math.ceil(windows) * maxAdmitted, `${runs} ran`);
+  t.equal((await sendCall(running, { id: "s", key: "south-1" })).status, 200);
 });
 
-// Guards against an upstream that is given the time that a wait for a permit has used up.
-test("an upstream is told what is left after the wait for a permit", async (t) => {
+// Guards against a timeout at the upstream that includes the wait for a permit.
+test("an upstream gets the time that remains after the wait for a permit", async (t) => {
   const running = await startTestSite(t, {
     document: createDocument(1, { rate: 100, burst: 100 }),
     waitMilliseconds: 60_000,
   });
   const { site } = running;
-  const patience = 20_000;
-  const darkMilliseconds = 1_000;
+  const timeoutMilliseconds = 20_000;
+  const outageMilliseconds = 1_000;
   for (const store of site.stores) await site.kill(store);
-  const asked = ask(running, {
+  const call = sendCall(running, {
     id: "waited",
     key: "north-1",
-    headers: { "x-patience-ms": String(patience) },
+    headers: { "x-patience-ms": String(timeoutMilliseconds) },
   });
-  await sleep(darkMilliseconds);
+  await sleep(outageMilliseconds);
   for (const store of site.stores) site.restart(store);
-  t.equal((await asked).status, 200);
+  t.equal((await call).status, 200);
   const { headers = {} } = findRun(running, "waited") ?? {};
-  t.ok(Number(headers["x-patience-ms"]) <= patience - darkMilliseconds);
+  t.ok(
+    Number(headers["x-patience-ms"]) <=
+      timeoutMilliseconds - outageMilliseconds,
+  );
 });
