--- a/packages/bench/src/integration/continue_test.ts
+++ b/packages/bench/src/integration/continue_test.ts
@@ -11,7 +11,7 @@
 const SLOW_ENGINE = { stepMilliseconds: 20 };
 const TOKENS = 80;
 
-test("engines that answer differently: what was told stays the beginning of the answer", async (t) => {
+test("engines that answer differently: text already streamed stays the beginning of the answer", async (t) => {
   const running = await startTestSite(t.testdir(), {
     engine: SLOW_ENGINE,
     salted: true,
@@ -30,7 +30,7 @@
     const program = await createProgram(client, "sidecar");
     const streamed = client.streamModel(program, askModel("s", TOKENS));
     await waitFor(
-      "an engine runs it",
+      "an engine runs the call",
       () => engines.some((engine) => engine.isRunning(program)),
     );
     await sleep(400);
@@ -47,18 +47,18 @@
     const program = await createProgram(client, "both");
     const streamed = client.streamModel(program, askModel("s", TOKENS));
     await waitFor(
-      "an engine runs it",
+      "an engine runs the call",
       () => engines.some((engine) => engine.isRunning(program)),
     );
     await sleep(400);
     const number = engines.findIndex((engine) => engine.isRunning(program)) + 1;
     const [owner = "replica-1"] = await listOwners(client);
-    const lost = [`engine-${number}`, owner];
-    await Promise.all(lost.map((name) => site.get(name).process.kill()));
+    const killed = [`engine-${number}`, owner];
+    await Promise.all(killed.map((name) => site.get(name).process.kill()));
     const answer = await streamed;
-    for (const name of lost) site.get(name).process.start();
+    for (const name of killed) site.get(name).process.start();
     await site.waitUntilHealthy();
-    // An owner that does not know what was told may only end the stream.
+    // An owner that does not know which text was streamed may only end the stream.
     if (!answer.whole) t.equal(answer.body.error.name, "STREAM_BROKEN");
     else await checkAnswer(program, answer.text);
   });
--- a/packages/bench/src/integration/documentation_test.ts
+++ b/packages/bench/src/integration/documentation_test.ts
@@ -17,11 +17,11 @@
 
 function listExamples(page: string): readonly Example[] {
   const blocks = [...page.matchAll(/```sh\n(curl [\s\S]*?)\n# (\d{3})\n```/g)];
-  return blocks.map((block) => readExample(block[1] ?? "", Number(block[2])));
+  return blocks.map((block) => parseExample(block[1] ?? "", Number(block[2])));
 }
 
-/** Reads the few options of curl that the examples use. */
-function readExample(command: string, status: number): Example {
+/** Parses the curl options that the examples use. */
+function parseExample(command: string, status: number): Example {
   const text = command.replaceAll("\\\n", " ");
   const words = [...text.matchAll(/'([^']*)'|(\S+)/g)].map((word) =>
     word[1] ?? word[2] ?? ""
@@ -41,7 +41,7 @@
   return { url, method, headers, body, status };
 }
 
-test("every example of docs/API.md works as it stands", async (t) => {
+test("every example in docs/API.md works unchanged", async (t) => {
   const page = readFileSync(join(DOCS, "API.md"), "utf8");
   const examples = listExamples(page);
   t.ok(examples.length >= 14);
@@ -60,7 +60,7 @@
   }
 });
 
-test("docs/CONFIGURATION.md has the tables of the schema", (t) => {
+test("docs/CONFIGURATION.md contains the tables of the settings schema", (t) => {
   const normalize = (text: string) =>
     text.replaceAll(/ +/g, " ").replaceAll(/-+/g, "-");
   const page = normalize(readFileSync(join(DOCS, "CONFIGURATION.md"), "utf8"));
--- a/packages/bench/src/integration/failures_test.ts
+++ b/packages/bench/src/integration/failures_test.ts
@@ -13,16 +13,16 @@
 } from "./test_site.ts";
 
 const SLOW_ENGINE = { stepMilliseconds: 20 };
-const OUTLASTS_TIMEOUTS_MILLISECONDS = 4_000;
+const BEYOND_TIMEOUTS_MILLISECONDS = 4_000;
 
 test("failures while calls run", async (t) => {
   const running = await startTestSite(t.testdir(), { engine: SLOW_ENGINE });
   t.teardown(() => running.stop());
   const { client, site, engines, services } = running;
   const service = services[0];
-  if (service === undefined) throw new Error("There is no service");
+  if (service === undefined) throw new Error("The site has no service");
 
-  await t.test("owners killed in the middle of a stream: the answer is whole", async (t) => {
+  await t.test("owner killed during a stream: the answer is complete", async (t) => {
     const program = await createProgram(client, "owner-killed");
     const body = askModel("s", 80);
     const streamed = client.streamModel(program, body);
@@ -36,12 +36,12 @@
     await site.waitUntilHealthy();
   });
 
-  await t.test("a sidecar killed in the middle of a stream: the answer goes on elsewhere", async (t) => {
+  await t.test("a sidecar killed during a stream: the answer continues elsewhere", async (t) => {
     const program = await createProgram(client, "sidecar-killed");
     const body = askModel("s", 80);
     const streamed = client.streamModel(program, body);
     await waitFor(
-      "an engine runs it",
+      "an engine runs the call",
       () => engines.some((engine) => engine.isRunning(program)),
     );
     await sleep(200);
@@ -54,11 +54,14 @@
     await site.waitUntilHealthy();
   });
 
-  await t.test("a sidecar killed while a stake is written: unknown, recorded, never repeated", async (t) => {
+  await t.test("a sidecar killed during a write: the outcome is unknown, recorded, and never retried", async (t) => {
     const program = await createProgram(client, "write-killed");
     service.faults.delayMilliseconds = 1_500;
     const writing = client.callService(program, SITE_SERVICE, writeStake("w"));
-    await waitFor("it runs", () => service.countRuns(`${program}/w`) === 1);
+    await waitFor(
+      "the service runs the write",
+      () => service.countRuns(`${program}/w`) === 1,
+    );
     await site.get("stakes-1").process.kill();
     site.get("stakes-1").process.start();
     const answer = await writing;
@@ -77,7 +80,7 @@
     t.equal(history.body.turns[0].code, "OUTCOME_UNKNOWN");
   });
 
-  await t.test("owners killed while a stake is written: the next owner finds the answer", async (t) => {
+  await t.test("owner killed during a write: the next owner finds the answer", async (t) => {
     const program = await createProgram(client, "write-owner");
     service.faults.delayMilliseconds = 1_000;
     const writing = client.callService(program, SITE_SERVICE, writeStake("w"));
@@ -92,7 +95,7 @@
     await site.waitUntilHealthy();
   });
 
-  await t.test("a frozen owner wakes after others have served: nothing of it takes effect", async (t) => {
+  await t.test("a frozen owner resumes after others have served: it changes nothing", async (t) => {
     const program = await createProgram(client, "frozen");
     const [owner = "replica-1"] = await listOwners(client);
     site.get(owner).process.signal("SIGSTOP");
@@ -101,7 +104,7 @@
     );
     const answers = await Promise.all(writes);
     t.same(answers.map((answer) => answer.status), [200, 200, 200]);
-    await sleep(OUTLASTS_TIMEOUTS_MILLISECONDS);
+    await sleep(BEYOND_TIMEOUTS_MILLISECONDS);
     site.get(owner).process.signal("SIGCONT");
     await site.waitUntilHealthy();
     for (const id of ["a", "b", "c"]) {
@@ -111,14 +114,17 @@
     t.equal(history.body.turns.length, 3);
   });
 
-  await t.test("an entry killed during a call: the same id at another entry gets the answer", async (t) => {
+  await t.test("an entry killed during a call: a retry with the same id at another entry gets the answer", async (t) => {
     const program = await createProgram(client, "entry-killed");
     service.faults.delayMilliseconds = 600;
     const writing = client.callService(program, SITE_SERVICE, writeStake("w"))
-      .then(() => "answered", () => "cut off");
-    await waitFor("it runs", () => service.countRuns(`${program}/w`) === 1);
+      .then(() => "answered", () => "disconnected");
+    await waitFor(
+      "the service runs the write",
+      () => service.countRuns(`${program}/w`) === 1,
+    );
     await site.get("entry-1").process.kill();
-    t.equal(await writing, "cut off");
+    t.equal(await writing, "disconnected");
     const other = running.clients[1];
     const answer = await other?.callService(
       program,
@@ -132,7 +138,7 @@
     await site.waitUntilHealthy();
   });
 
-  await t.test("the service runs it but its answer is lost: unknown, once", async (t) => {
+  await t.test("the service runs a write but its answer is lost: the outcome is unknown, and it ran once", async (t) => {
     const program = await createProgram(client, "answer-lost");
     service.faults.dropAnswers = true;
     const answer = await client.callService(
@@ -145,7 +151,7 @@
     t.equal(service.countRuns(`${program}/w`), 1);
   });
 
-  await t.test("all replicas killed and started again: history and answers are kept", async (t) => {
+  await t.test("all replicas killed and restarted: history and answers are kept", async (t) => {
     const program = await createProgram(client, "all-killed");
     const first = await client.callService(
       program,
--- a/packages/bench/src/integration/leaving_test.ts
+++ b/packages/bench/src/integration/leaving_test.ts
@@ -12,7 +12,7 @@
 
 const SLOW_ENGINE = { stepMilliseconds: 20 };
 
-test("leaving and cut off", async (t) => {
+test("draining, planned stops and partitions", async (t) => {
   const plan = { proxied: true };
   const running = await startTestSite(t.testdir(), {
     engine: SLOW_ENGINE,
@@ -21,13 +21,13 @@
   t.teardown(() => running.stop());
   const { client, clients, site, engines } = running;
 
-  await t.test("a drained upstream finishes what it has and gets nothing new", async (t) => {
+  await t.test("a draining upstream finishes its calls and gets no new ones", async (t) => {
     const spec = { type: "model", models: ["field-guide"] };
     const program = await createProgram(client, "drain");
     const body = askModel("long", 100);
     const streamed = client.streamModel(program, body);
     await waitFor(
-      "an engine runs it",
+      "an engine runs the call",
       () => engines.some((engine) => engine.isRunning(program)),
     );
     const position = engines.findIndex((engine) => engine.isRunning(program));
@@ -38,7 +38,7 @@
       async () => !await site.isHealthy(name),
     );
     const before = engines[position]?.generations ?? 0;
-    // Many at once, so that load alone would bring some to each engine.
+    // Many concurrent calls, which balancing by load would spread over all engines.
     const numbers = Array.from({ length: 12 }, (_, number) => number);
     const others = numbers.map(async (number) => {
       const other = await createProgram(client, `after-drain-${number}`);
@@ -55,9 +55,9 @@
   for (
     const role of ["entry-2", "engine-1", "replica-1", "replica-2", "replica-3"]
   ) {
-    await t.test(`a planned stop of ${role} under load cuts off no request`, async (t) => {
-      // Calls that an engine runs, or has run: each has reached its entry.
-      const begun = new Set<string>();
+    await t.test(`a planned stop of ${role} under load aborts no request`, async (t) => {
+      // Programs whose call has reached its entry: an engine runs it or has run it.
+      const startedPrograms = new Set<string>();
       const loads = Array.from({ length: 6 }, async (_, number) => {
         const user = clients[number % 2] ?? client;
         const program = await createProgram(user, `stop-${role}-${number}`);
@@ -66,15 +66,15 @@
         const answering = user.streamModel(program, body)
           .finally(() => isAnswered = true);
         await waitFor(
-          "an engine runs it",
+          "an engine runs the call",
           () =>
             isAnswered || engines.some((engine) => engine.isRunning(program)),
         );
-        begun.add(program);
+        startedPrograms.add(program);
         const answer = await answering;
         return answer.whole && answer.text === composeAnswer(body.messages, 60);
       });
-      await waitFor("all calls are under way", () => begun.size === 6);
+      await waitFor("all calls have started", () => startedPrograms.size === 6);
       const code = await site.get(role).process.stop();
       t.equal(code, 0);
       t.ok((await Promise.all(loads)).every((isWhole) => isWhole));
@@ -83,13 +83,16 @@
     });
   }
 
-  await t.test("a planned stop of a sidecar waits for a write that may not repeat", async (t) => {
+  await t.test("a planned stop of a sidecar waits for a write that is not idempotent", async (t) => {
     const [service] = running.services;
-    if (service === undefined) throw new Error("There is no service");
+    if (service === undefined) throw new Error("The site has no service");
     const program = await createProgram(client, "stop-write");
     service.faults.delayMilliseconds = 1_200;
     const writing = client.callService(program, SITE_SERVICE, writeStake("w"));
-    await waitFor("it runs", () => service.countRuns(`${program}/w`) === 1);
+    await waitFor(
+      "the service runs the write",
+      () => service.countRuns(`${program}/w`) === 1,
+    );
     t.equal(await site.get("stakes-1").process.stop(), 0);
     service.faults.delayMilliseconds = 2;
     t.equal((await writing).status, 200);
@@ -98,7 +101,7 @@
     await site.waitUntilHealthy();
   });
 
-  await t.test("an entry cut off refuses within seconds and never goes back", async (t) => {
+  await t.test("a partitioned entry refuses calls within seconds and never reverts to an older revision", async (t) => {
     const program = await createProgram(client, "cut-off");
     const links = site.proxies.filter((known) => known.source === "entry-1");
     for (const { proxy } of links) proxy.cut();
--- a/packages/bench/src/integration/log_catalogue_test.ts
+++ b/packages/bench/src/integration/log_catalogue_test.ts
@@ -4,8 +4,11 @@
 
 const PACKAGES = join(__dirname, "../../..");
 const PAGE = join(PACKAGES, "../docs/OPERATIONS.md");
-/** A log call up to its sentence; the bench and the tools write no logs. */
-const SENTENCE =
+/**
+ * A log call up to its message, which may be a choice of two. The bench and the
+ * tools write no logs.
+ */
+const LOG_CALL =
   /logger(?:\.forPart\([^)]*\))?\.(?:debug|info|warn|error)\(\s*(?:[^"()]*\?\s*)?"([^"]+)"(?:\s*:\s*"([^"]+)")?/g;
 
 function listSources(folder: string): readonly string[] {
@@ -19,19 +22,19 @@
   return files;
 }
 
-test("docs/OPERATIONS.md tells of every log message", (t) => {
+test("docs/OPERATIONS.md lists every log message", (t) => {
   const page = readFileSync(PAGE, "utf8");
-  const sentences = new Set<string>();
+  const messages = new Set<string>();
   for (const file of listSources(PACKAGES)) {
-    for (const match of readFileSync(file, "utf8").matchAll(SENTENCE)) {
-      for (const sentence of match.slice(1)) {
-        if (sentence !== undefined) sentences.add(sentence);
+    for (const match of readFileSync(file, "utf8").matchAll(LOG_CALL)) {
+      for (const message of match.slice(1)) {
+        if (message !== undefined) messages.add(message);
       }
     }
   }
-  t.ok(sentences.size > 30, "the sentences were found");
-  for (const sentence of sentences) {
-    t.ok(page.includes(`\`${sentence}\``), sentence);
+  t.ok(messages.size > 30, "the log messages were found");
+  for (const message of messages) {
+    t.ok(page.includes(`\`${message}\``), message);
   }
   t.end();
 });
--- a/packages/bench/src/integration/mallowctl_test.ts
+++ b/packages/bench/src/integration/mallowctl_test.ts
@@ -8,13 +8,16 @@
 
 const SCRIPT = require.resolve("@mallowlift/cli/bin/mallowctl.js");
 
-interface Ended {
+interface CommandResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
 }
 
-function run(entry: string, words: readonly string[]): Promise<Ended> {
+function runMallowctl(
+  entry: string,
+  commandArguments: readonly string[],
+): Promise<CommandResult> {
   const env = {
     ...process.env,
     MALLOWCTL_ENTRY: entry,
@@ -23,7 +26,7 @@
   return new Promise((resolve) => {
     execFile(
       process.execPath,
-      [SCRIPT, ...words],
+      [SCRIPT, ...commandArguments],
       { env },
       (error, output, errors) => {
         const code = error === null ? 0 : Number(error.code);
@@ -38,10 +41,11 @@
   const running = await startTestSite(folder, { plan: { entries: 1 } });
   t.teardown(() => running.stop());
   const entry = running.site.entryUrls[0] ?? "";
-  const control = (...words: string[]) => run(entry, words);
+  const mallowctl = (...commandArguments: string[]) =>
+    runMallowctl(entry, commandArguments);
 
-  await t.test("apply, get, list and delete keep to versions", async (t) => {
-    const created = await control(
+  await t.test("apply, get, list and delete check versions", async (t) => {
+    const created = await mallowctl(
       "apply",
       "priority",
       "night",
@@ -49,7 +53,7 @@
       '{"level": 3}',
     );
     t.match(created.output, /priority night has version 1/);
-    const conflict = await control(
+    const conflict = await mallowctl(
       "apply",
       "priority",
       "night",
@@ -71,21 +75,21 @@
       "--order",
       "o1",
     ];
-    const first = await control(...order, "-o", "json");
-    const again = await control(...order, "-o", "json");
+    const first = await mallowctl(...order, "-o", "json");
+    const again = await mallowctl(...order, "-o", "json");
     t.equal(again.output, first.output);
-    const got = await control("-o", "json", "get", "priority", "night");
+    const got = await mallowctl("-o", "json", "get", "priority", "night");
     t.equal(JSON.parse(got.output).spec.level, 5);
-    t.match((await control("list", "priority")).output, /night\s+2/);
-    t.equal((await control("delete", "priority", "night")).code, 0);
-    t.equal((await control("get", "priority", "night")).code, 4);
+    t.match((await mallowctl("list", "priority")).output, /night\s+2/);
+    t.equal((await mallowctl("delete", "priority", "night")).code, 0);
+    t.equal((await mallowctl("get", "priority", "night")).code, 4);
   });
 
   await t.test("status shows members, leaders, followers and sidecars", async (t) => {
     await createProgram(running.client, "status");
-    const { output } = await control("status");
+    const { output } = await mallowctl("status");
     for (
-      const word of [
+      const expected of [
         "Revision in force",
         "replica-1:voter",
         "engine-1",
@@ -93,38 +97,38 @@
         "LEADER",
       ]
     ) {
-      t.match(output, word);
+      t.match(output, expected);
     }
   });
 
-  await t.test("drain and its undo reach the upstream", async (t) => {
-    t.equal((await control("drain", "engine-1")).code, 0);
+  await t.test("drain and drain --undo change the upstream", async (t) => {
+    t.equal((await mallowctl("drain", "engine-1")).code, 0);
     t.equal(
       JSON.parse(
-        (await control("-o", "json", "get", "upstream", "engine-1")).output,
+        (await mallowctl("-o", "json", "get", "upstream", "engine-1")).output,
       ).spec.drain,
       true,
     );
-    t.equal((await control("drain", "engine-1", "--undo")).code, 0);
-    t.equal((await control("drain", "absent")).code, 4);
+    t.equal((await mallowctl("drain", "engine-1", "--undo")).code, 0);
+    t.equal((await mallowctl("drain", "absent")).code, 4);
   });
 
-  await t.test("watch prints every change from a revision", async (t) => {
-    const { output } = await control("watch", "--from", "0", "--count", "3");
+  await t.test("watch prints every change since a revision", async (t) => {
+    const { output } = await mallowctl("watch", "--from", "0", "--count", "3");
     const revisions = output.trim().split("\n").map((line) =>
       JSON.parse(line).revision
     );
     t.same(revisions, [1, 2, 3]);
   });
 
-  await t.test("mistakes have exit codes and clear words", async (t) => {
-    t.equal((await control("fly")).code, 2);
-    t.equal((await control("apply", "priority", "x")).code, 2);
+  await t.test("mistakes have exit codes and clear messages", async (t) => {
+    t.equal((await mallowctl("fly")).code, 2);
+    t.equal((await mallowctl("apply", "priority", "x")).code, 2);
     t.equal(
-      (await control("apply", "priority", "x", "--spec", "{broken")).code,
+      (await mallowctl("apply", "priority", "x", "--spec", "{broken")).code,
       2,
     );
-    const refused = await control(
+    const refused = await mallowctl(
       "apply",
       "priority",
       "x",
@@ -133,14 +137,14 @@
     );
     t.equal(refused.code, 1);
     t.match(refused.errors, /1003 INVALID_FIELD/);
-    t.equal((await run("http://127.0.0.1:1", ["status"])).code, 5);
+    t.equal((await runMallowctl("http://127.0.0.1:1", ["status"])).code, 5);
     const path = join(folder, "wrong.ini");
     writeFileSync(path, "[daemon]\nname =\n");
-    const checked = await control("check-settings", path);
+    const checked = await mallowctl("check-settings", path);
     t.equal(checked.code, 2);
     t.match(checked.output, /\[network\] shared_key: nothing was read/);
     const valid = join(folder, "settings", "entry-1.ini");
-    t.equal((await control("check-settings", valid)).code, 0);
-    t.match((await control("--help")).output, /Examples:/);
+    t.equal((await mallowctl("check-settings", valid)).code, 0);
+    t.match((await mallowctl("--help")).output, /Examples:/);
   });
 });
--- a/packages/bench/src/integration/one_process_test.ts
+++ b/packages/bench/src/integration/one_process_test.ts
@@ -54,8 +54,8 @@
   for (const round of [1, 2]) {
     daemon.start();
     await seedResources(client, { engines: 1, services: 0 });
-    // An order needs a leader only; callers are served once the entry has
-    // confirmed its configuration, which is what its health says.
+    // Resources need only a leader, but callers are served only after the entry has
+    // confirmed its configuration, which its health reports.
     await waitUntilHealthy(`http://127.0.0.1:${health}/healthz`);
     const program = await createProgram(client, "small");
     let answer = await client.callModel(program, askModel(`q${round}`, 4));
--- a/packages/bench/src/integration/orders_test.ts
+++ b/packages/bench/src/integration/orders_test.ts
@@ -11,8 +11,8 @@
 const LEASE_MILLISECONDS = 1_000;
 const FIELD_GUIDE = "field-guide";
 
-/** Starts a second sidecar beside the engine of the first. */
-async function startTwin(
+/** Starts a second sidecar for the engine of the first sidecar. */
+async function startSecondSidecar(
   running: TestSite,
   folder: string,
 ): Promise<ManagedProcess> {
@@ -30,17 +30,17 @@
   };
   const path = join(folder, "settings", "engine-1-twin.ini");
   writeFileSync(path, formatSettings(sections, running.site.plan.overrides));
-  const twin = new ManagedProcess({
+  const secondSidecar = new ManagedProcess({
     ...first.process.plan,
     name: "engine-1-twin",
     scriptArguments: ["--settings", path],
     logPath: join(folder, "logs", "engine-1-twin.log"),
   });
-  twin.start();
-  return twin;
+  secondSidecar.start();
+  return secondSidecar;
 }
 
-function checkOrders(engine: FakeEngine): boolean {
+function areFencingNumbersOrdered(engine: FakeEngine): boolean {
   let highest = 0;
   for (const order of engine.orders) {
     if (order.fencing_number < highest) return false;
@@ -51,7 +51,7 @@
 
 for (const checksFencing of [true, false]) {
   const kind = checksFencing ? "checks" : "ignores";
-  test(`an old sidecar wakes beside an engine that ${kind} the fencing number`, async (t) => {
+  test(`a frozen sidecar resumes beside an engine that ${kind} the fencing number`, async (t) => {
     const folder = t.testdir();
     const plan = {
       engines: 1,
@@ -65,32 +65,32 @@
     });
     t.teardown(() => running.stop());
     const [engine] = running.engines;
-    if (engine === undefined) throw new Error("There is no engine");
-    const want = async (...models: string[]) => {
+    if (engine === undefined) throw new Error("The site has no engine");
+    const requestModels = async (...models: string[]) => {
       const spec = { type: "model", models: [FIELD_GUIDE, ...models] };
       await running.client.applyResource("upstream", "engine-1", spec);
     };
-    const twin = await startTwin(running, folder);
-    t.teardown(() => twin.kill());
-    await want("first");
+    const secondSidecar = await startSecondSidecar(running, folder);
+    t.teardown(() => secondSidecar.kill());
+    await requestModels("first");
     await waitFor(
-      "the holder loaded it",
+      "the lease holder loaded the model",
       () => engine.models.includes("first"),
     );
-    const held = engine.orders.at(-1)?.fencing_number ?? 0;
+    const holderFencingNumber = engine.orders.at(-1)?.fencing_number ?? 0;
     const holder = running.site.get("engine-1").process;
     holder.signal("SIGSTOP");
-    await want("second");
+    await requestModels("second");
     await waitFor(
-      "the successor took over",
+      "the second sidecar loaded the model",
       () => engine.models.includes("second"),
     );
-    t.ok((engine.orders.at(-1)?.fencing_number ?? 0) > held);
-    const count = engine.orders.length;
+    t.ok((engine.orders.at(-1)?.fencing_number ?? 0) > holderFencingNumber);
+    const orderCount = engine.orders.length;
     holder.signal("SIGCONT");
     await sleep(3 * LEASE_MILLISECONDS);
-    t.equal(engine.orders.length, count);
-    t.ok(checkOrders(engine));
+    t.equal(engine.orders.length, orderCount);
+    t.ok(areFencingNumbersOrdered(engine));
     t.same(engine.models, [FIELD_GUIDE, "second"]);
   });
 }
--- a/packages/bench/src/integration/test_site.ts
+++ b/packages/bench/src/integration/test_site.ts
@@ -1,4 +1,4 @@
-/** A site for one test file: fakes inside the test, daemons as processes. */
+/** Starts a site for a test file: fakes in the test process, daemons as processes. */
 
 import { mkdirSync } from "node:fs";
 import { join } from "node:path";
@@ -18,9 +18,9 @@
 import { SiteClient } from "../site/site_client.ts";
 import { OPERATOR_TOKEN, type SitePlan } from "../site/site_plan.ts";
 
-const WAIT_MILLISECONDS = 30_000;
+const WAIT_TIMEOUT_MILLISECONDS = 30_000;
 
-/** A running site with its fakes and a client for each entry. */
+/** A running site with its fakes and one client for each entry. */
 export interface TestSite {
   readonly site: Site;
   readonly engines: readonly FakeEngine[];
@@ -29,17 +29,17 @@
   /** Client of the first entry, for the outfit "north". */
   readonly client: SiteClient;
   /** Client of the first entry, for the outfit "south". */
-  readonly rival: SiteClient;
+  readonly southClient: SiteClient;
   stop(): Promise<void>;
 }
 
-/** Starts a site and waits until it is healthy. */
+/** Starts a site with its resources and waits until it is healthy. */
 export async function startTestSite(
   folder: string,
   options: {
     readonly plan?: Partial<SitePlan>;
     readonly engine?: Partial<FakeEngineOptions>;
-    /** True to let each engine answer differently. */
+    /** True if each engine shall give different answers. */
     readonly salted?: boolean;
   } = {},
 ): Promise<TestSite> {
@@ -69,19 +69,22 @@
   );
   const client = clients[0];
   if (client === undefined) throw new Error("The site has no entry");
-  const rival = new SiteClient(site.entryUrls[0] ?? "", OUTFIT_TOKENS.SOUTH);
+  const southClient = new SiteClient(
+    site.entryUrls[0] ?? "",
+    OUTFIT_TOKENS.SOUTH,
+  );
   const { engines: engineCount, services: serviceCount } = site.plan;
   await seedResources(client, { engines: engineCount, services: serviceCount });
   await site.waitUntilHealthy();
   const stop = async () => {
-    for (const known of [...clients, rival]) known.close();
+    for (const known of [...clients, southClient]) known.close();
     await site.kill();
     for (const fake of [...engines, ...services]) await fake.stop();
   };
-  return { site, engines, services, clients, client, rival, stop };
+  return { site, engines, services, clients, client, southClient, stop };
 }
 
-/** Creates a program and returns its id. */
+/** Creates a program and returns its id; throws if it is refused. */
 export async function createProgram(
   client: SiteClient,
   requestId: string,
@@ -91,7 +94,7 @@
   return String(created.body.program);
 }
 
-/** Body of a model call. */
+/** Returns the body of a model call. */
 export function askModel(requestId: string, tokens: number) {
   const messages = [{ role: "user", content: `Question ${requestId}` }];
   return {
@@ -102,7 +105,7 @@
   };
 }
 
-/** Body of a service call that may not repeat. */
+/** Returns the body of a service call that is not idempotent. */
 export function writeStake(requestId: string) {
   return {
     request_id: requestId,
@@ -111,7 +114,7 @@
   };
 }
 
-/** Calls the stake records until a leader and an upstream take the call up. */
+/** Retries a write until the answer no longer says that it did not run. */
 export async function writeUntilTaken(
   client: SiteClient,
   program: string,
@@ -128,19 +131,19 @@
   }
 }
 
-/** Waits until a condition holds; throws after a while. */
+/** Waits until a condition holds; throws after a timeout. */
 export async function waitFor(
-  what: string,
+  condition: string,
   isMet: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const deadline = Date.now() + WAIT_MILLISECONDS;
+  const deadline = Date.now() + WAIT_TIMEOUT_MILLISECONDS;
   while (!await isMet()) {
-    if (Date.now() > deadline) throw new Error(`Did not come about: ${what}`);
+    if (Date.now() > deadline) throw new Error(`Timed out: ${condition}`);
     await sleep(20);
   }
 }
 
-/** Names of the replicas that lead any group with programs. */
+/** Returns the ids of the replicas that lead a group with programs. */
 export async function listOwners(
   client: SiteClient,
 ): Promise<readonly string[]> {
@@ -157,5 +160,5 @@
     .map((replica) => replica.replicaId);
 }
 
-/** A promise that a test resolves by hand. */
+/** Creates a promise that a test resolves itself. */
 export const createSignal = createDeferred<void>;
--- a/packages/bench/src/integration/whole_path_test.ts
+++ b/packages/bench/src/integration/whole_path_test.ts
@@ -14,20 +14,20 @@
   writeStake,
 } from "./test_site.ts";
 
-test("the whole path", async (t) => {
+test("end to end", async (t) => {
   const folder = t.testdir();
   const overrides = { daemon: { log_level: "debug" } };
   const running = await startTestSite(folder, { plan: { overrides } });
   t.teardown(() => running.stop());
-  const { client, rival, site, engines, services } = running;
+  const { client, southClient, site, engines, services } = running;
 
-  await t.test("a program runs from end to end", async (t) => {
+  await t.test("a program runs from start to end", async (t) => {
     const report = await runFirnwatchProgram(client, "example");
     t.equal(report.lines.length, 8);
     t.equal(services[0]?.runs.length, 1);
   });
 
-  await t.test("whole and streamed answers are byte for byte the engine's", async (t) => {
+  await t.test("complete and streamed answers equal the engine's byte for byte", async (t) => {
     const program = await createProgram(client, "bytes");
     const first = askModel("a", 9);
     const whole = await client.callModel(program, first);
@@ -64,7 +64,7 @@
     t.equal(reused.body.error.name, "REQUEST_ID_REUSED");
   });
 
-  await t.test("calls of one program run in order, however they arrive", async (t) => {
+  await t.test("concurrent calls of one program run one after another", async (t) => {
     const program = await createProgram(client, "order");
     const ids = ["c1", "c2", "c3", "c4"];
     const answers = await Promise.all(
@@ -80,7 +80,7 @@
     t.same([...kept].sort(), ids);
   });
 
-  await t.test("a budget and a limit of turns hold", async (t) => {
+  await t.test("a token budget and a turn limit hold", async (t) => {
     const created = await client.createProgram({
       request_id: "tight",
       token_budget: 40,
@@ -96,14 +96,14 @@
     t.equal(third.body.error.name, "TURN_LIMIT");
   });
 
-  await t.test("another outfit's program cannot be told from none", async (t) => {
+  await t.test("another outfit's program cannot be distinguished from an unknown one", async (t) => {
     const program = await createProgram(client, "private");
     const absent = `p${"0".repeat(24)}`;
     for (const id of [program, absent]) {
-      const read = await rival.readHistory(id);
-      const called = await rival.callModel(id, askModel("x", 1));
-      const child = await rival.createChild(id, { request_id: "c" });
-      const ended = await rival.endProgram(id);
+      const read = await southClient.readHistory(id);
+      const called = await southClient.callModel(id, askModel("x", 1));
+      const child = await southClient.createChild(id, { request_id: "c" });
+      const ended = await southClient.endProgram(id);
       for (const answer of [read, called, child, ended]) {
         t.equal(answer.status, 404);
         t.equal(answer.body.error.message, "There is no such program");
@@ -111,19 +111,19 @@
     }
   });
 
-  await t.test("an ended program leaves nothing in any engine", async (t) => {
+  await t.test("an ended program leaves no session in any engine", async (t) => {
     const program = await createProgram(client, "release");
     await client.callModel(program, askModel("x", 4));
     const isHeld = () =>
       engines.some((engine) => engine.sessions.includes(program));
     t.ok(isHeld());
     await client.endProgram(program);
-    await waitFor("the memory is free", () => !isHeld());
+    await waitFor("the engine has released the session", () => !isHeld());
     const late = await client.callModel(program, askModel("y", 1));
     t.equal(late.body.error.name, "PROGRAM_ENDED");
   });
 
-  await t.test("a program that makes no call ends by its lease", async (t) => {
+  await t.test("a program without calls ends when its lease expires", async (t) => {
     const created = await client.createProgram({
       request_id: "idle",
       lease_ms: 200,
@@ -137,7 +137,7 @@
     t.pass("ended");
   });
 
-  await t.test("an engine gets the models that operators want", async (t) => {
+  await t.test("an engine loads the models that operators configured", async (t) => {
     const spec = { type: "model", models: ["field-guide", "crating"] };
     await client.applyResource("upstream", "engine-1", spec);
     await waitFor(
@@ -147,7 +147,7 @@
     t.ok((engines[0]?.orders[0]?.fencing_number ?? 0) > 0);
   });
 
-  await t.test("bad input gets a numbered code, and the process goes on", async (t) => {
+  await t.test("invalid input gets a numbered code, and the process continues", async (t) => {
     const program = await createProgram(client, "bad");
     const path = `/v1/programs/${program}/chat/completions`;
     const unknown = await client.callModel(program, {
@@ -193,7 +193,7 @@
     t.equal((await client.callModel(program, askModel("fine", 1))).status, 200);
   });
 
-  await t.test("what callers send and get is never logged", (t) => {
+  await t.test("contents of requests and answers are never logged", (t) => {
     const logs = join(folder, "logs");
     for (const name of readdirSync(logs)) {
       const text = readFileSync(join(logs, name), "utf8");
