--- a/packages/transport/src/address.ts
+++ b/packages/transport/src/address.ts
@@ -1,13 +1,14 @@
-/** Addresses of the form host:port. */
+/** Parses and formats addresses of the form host:port. */
 
-/** An address in its two parts. */
+/** Host and port of an address. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
 }
 
 /**
- * Splits an address.
+ * Splits an address into host and port; brackets around an IPv6 host are
+ * removed.
  *
  * @example
  * ```ts
@@ -21,7 +22,7 @@
   return { host, port: Number(address.slice(colon + 1)) };
 }
 
-/** Joins the two parts of an address. */
+/** Formats host and port as an address; an IPv6 host is put in brackets. */
 export function joinAddress(address: HostAndPort): string {
   const host = address.host.includes(":") ? `[${address.host}]` : address.host;
   return `${host}:${address.port}`;
--- a/packages/transport/src/connection.ts
+++ b/packages/transport/src/connection.ts
@@ -1,4 +1,7 @@
-/** One open connection, on which both calls and answers travel. */
+/**
+ * Multiplexes calls and replies on one open connection. Detects a silent peer
+ * with pings while a call waits for data.
+ */
 
 import type { Buffer } from "node:buffer";
 import type { Socket } from "node:net";
@@ -33,33 +36,34 @@
   HandlerTable,
 } from "./handlers.ts";
 
-/** Time between two looks at connections that wait for a word, ms. */
-const LOOK_MILLISECONDS = 1_000;
-/** Silence after a call at which a connection is given up, ms: a few looks. */
-const SILENCE_MILLISECONDS = 4_000;
-/** Id of a ping that asks for one in return. */
-const PING_ASKS = 1;
-/** Id of a ping in return. */
-const PING_ANSWERS = 0;
+/** Time between two pings on connections that wait for data, ms. */
+const PING_INTERVAL_MILLISECONDS = 1_000;
+/** Time without data after a call before the connection is closed, ms: a few ping intervals. */
+const MAX_SILENCE_MILLISECONDS = 4_000;
+/** Id of a ping that requests a reply. */
+const PING_REQUEST = 1;
+/** Id of a ping that replies to another. */
+const PING_REPLY = 0;
+/** Unsent bytes above which the connection is closed. */
 const MAX_UNSENT_BYTES = 256 * 1_024 * 1_024;
 
-/** Connections that have sent a call and heard nothing since. */
-const WATCHED = new Set<Connection>();
-let looker: NodeJS.Timeout | undefined;
+/** Connections that have sent a call and received no data since. */
+const AWAITING_DATA = new Set<Connection>();
+let pingTimer: NodeJS.Timeout | undefined;
 
-/** One timer serves all connections, and stands while none is watched. */
-function startLooking(): void {
-  if (looker !== undefined) return;
-  looker = setTimeout(() => {
-    looker = undefined;
+/** Schedules pings with one timer for all connections; it stops while none waits for data. */
+function schedulePings(): void {
+  if (pingTimer !== undefined) return;
+  pingTimer = setTimeout(() => {
+    pingTimer = undefined;
     const now = performance.now();
-    for (const connection of [...WATCHED]) connection.lookAtSilence(now);
-    if (WATCHED.size > 0) startLooking();
-  }, LOOK_MILLISECONDS);
-  looker.unref();
+    for (const connection of [...AWAITING_DATA]) connection.pingOrClose(now);
+    if (AWAITING_DATA.size > 0) schedulePings();
+  }, PING_INTERVAL_MILLISECONDS);
+  pingTimer.unref();
 }
 
-/** Every streamed call ends with one, so it is made once. */
+/** Created only once because every streamed call ends with this outcome. */
 const CANCELLED_CALL = fail(
   RESULT_CODES.CANCELLED,
   "The call was cancelled",
@@ -75,39 +79,40 @@
   context: CallContext<unknown>,
 ) => Promise<Outcome<unknown>>;
 
-/** What a connection is made from once the handshake is over. */
-export interface ConnectionParts {
+/** Options for a connection whose handshake has completed. */
+export interface ConnectionOptions {
   readonly socket: Socket;
   readonly reader: FrameReader;
   readonly peer: string;
   readonly handlers: HandlerTable;
-  /** Counts a connection closed for what was sent on it. */
+  /** Called when the connection is closed because the peer sent a malformed or oversized frame. */
   readonly onMalformed: (code: ResultCode) => void;
   readonly metrics?: Metrics;
 }
 
-/** A connection whose peer has proved the shared key. */
+/** A connection whose peer has proved that it knows the shared key. */
 export class Connection implements Caller {
   readonly peer: string;
   readonly closed: Promise<void>;
-  readonly #parts: ConnectionParts;
+  readonly #options: ConnectionOptions;
   readonly #closed: Deferred<void> = createDeferred<void>();
   readonly #pending = new Map<number, PendingCall>();
-  readonly #served = new Map<number, AbortController>();
+  /** Abort controllers of the running handlers, by call id. */
+  readonly #running = new Map<number, AbortController>();
   #nextId = 1;
   #open = true;
   #corked = false;
-  /** Since when a call has been sent and nothing was heard; Infinity if not. */
-  #waitingSince = Infinity;
+  /** Time of the first call sent since data last arrived, monotonic, ms; Infinity if there is none. */
+  #silentSince = Infinity;
 
-  constructor(parts: ConnectionParts) {
-    this.#parts = parts;
-    this.peer = parts.peer;
+  constructor(options: ConnectionOptions) {
+    this.#options = options;
+    this.peer = options.peer;
     this.closed = this.#closed.promise;
-    parts.socket.setNoDelay(true);
-    parts.socket.on("data", (bytes: Buffer) => this.#read(bytes));
-    parts.socket.on("error", () => this.close());
-    parts.socket.on("close", () => this.close());
+    options.socket.setNoDelay(true);
+    options.socket.on("data", (bytes: Buffer) => this.#read(bytes));
+    options.socket.on("error", () => this.close());
+    options.socket.on("close", () => this.close());
   }
 
   /** True until the connection closes. */
@@ -115,13 +120,13 @@
     return this.#open;
   }
 
-  /** Bytes that wait for the peer or the link to take them. */
+  /** Bytes in the socket's write buffer that are not sent yet. */
   get unsentBytes(): number {
-    return this.#parts.socket.writableLength;
+    return this.#options.socket.writableLength;
   }
 
-  /** Handles bytes that came together with the end of the handshake. */
-  readAhead(messages: readonly unknown[]): void {
+  /** Handles messages that arrived together with the end of the handshake. */
+  handleEarlyMessages(messages: readonly unknown[]): void {
     for (const message of messages) this.#handleMessage(message);
   }
 
@@ -141,15 +146,15 @@
       onChunk: options.onChunk as PendingCall["onChunk"],
     });
     this.#send({ type: "call", id, name, body: request });
-    this.#watchSilence(performance.now());
-    const giveUp = (outcome: Outcome<never>) => {
+    this.#expectData(performance.now());
+    const abandon = (outcome: Outcome<never>) => {
       if (!this.#pending.delete(id)) return;
       this.#send({ type: "cancel", id });
       done.resolve(outcome);
     };
-    const abort = () => giveUp(CANCELLED_CALL);
+    const abort = () => abandon(CANCELLED_CALL);
     const timer = setTimeout(
-      () => giveUp(fail(RESULT_CODES.TIMEOUT, `No answer to ${name} in time`)),
+      () => abandon(fail(RESULT_CODES.TIMEOUT, `Call ${name} timed out`)),
       options.timeoutMilliseconds,
     );
     options.signal?.addEventListener("abort", abort, { once: true });
@@ -160,43 +165,46 @@
     return outcome as Outcome<InternalHandlers[N]["reply"]>;
   }
 
-  /** Closes the connection; calls under way end with CONNECTION_LOST. */
+  /** Closes the connection; calls in flight end with CONNECTION_LOST. */
   close(): void {
     if (!this.#open) return;
     this.#open = false;
-    WATCHED.delete(this);
-    this.#parts.socket.destroy();
+    AWAITING_DATA.delete(this);
+    this.#options.socket.destroy();
     for (const pending of this.#pending.values()) {
       pending.done.resolve(
-        fail(RESULT_CODES.CONNECTION_LOST, "The connection broke"),
+        fail(
+          RESULT_CODES.CONNECTION_LOST,
+          "The connection closed before the reply arrived",
+        ),
       );
     }
     this.#pending.clear();
-    for (const controller of this.#served.values()) controller.abort(ABORTED);
-    this.#served.clear();
+    for (const controller of this.#running.values()) controller.abort(ABORTED);
+    this.#running.clear();
     this.#closed.resolve(undefined);
   }
 
-  /** Asks for a word, or gives the connection up; called while it waits for one. */
-  lookAtSilence(now: number): void {
-    if (now - this.#waitingSince > SILENCE_MILLISECONDS) return this.close();
-    this.#send({ type: "ping", id: PING_ASKS });
+  /** Pings the peer, or closes the connection after too long a silence; called while it waits for data. */
+  pingOrClose(now: number): void {
+    if (now - this.#silentSince > MAX_SILENCE_MILLISECONDS) return this.close();
+    this.#send({ type: "ping", id: PING_REQUEST });
   }
 
-  /** An idle connection costs nothing; one that waits for a word is watched. */
-  #watchSilence(now: number): void {
-    if (!this.#open || this.#waitingSince !== Infinity) return;
-    this.#waitingSince = now;
-    WATCHED.add(this);
-    startLooking();
+  /** Starts pings until data arrives; an idle connection sends none. */
+  #expectData(now: number): void {
+    if (!this.#open || this.#silentSince !== Infinity) return;
+    this.#silentSince = now;
+    AWAITING_DATA.add(this);
+    schedulePings();
   }
 
   #send(frame: Frame): void {
     if (!this.#open) return;
-    const socket = this.#parts.socket;
+    const socket = this.#options.socket;
     if (socket.writableLength > MAX_UNSENT_BYTES) return this.close();
     if (!this.#corked) {
-      // Frames of one turn of the event loop share one packet.
+      // Frames sent in one iteration of the event loop are written together.
       this.#corked = true;
       socket.cork();
       setImmediate(() => {
@@ -205,18 +213,18 @@
       });
     }
     const bytes = encodeFrame(frame);
-    this.#parts.metrics?.peerBytes.inc({ direction: "sent" }, bytes.length);
+    this.#options.metrics?.peerBytes.inc({ direction: "sent" }, bytes.length);
     socket.write(bytes);
   }
 
   #read(bytes: Buffer): void {
-    if (this.#waitingSince !== Infinity) {
-      this.#waitingSince = Infinity;
-      WATCHED.delete(this);
+    if (this.#silentSince !== Infinity) {
+      this.#silentSince = Infinity;
+      AWAITING_DATA.delete(this);
     }
     const received = { direction: "received" };
-    this.#parts.metrics?.peerBytes.inc(received, bytes.length);
-    const messages = this.#parts.reader.push(bytes);
+    this.#options.metrics?.peerBytes.inc(received, bytes.length);
+    const messages = this.#options.reader.push(bytes);
     if (messages.err) return this.#reject(messages.val.code);
     for (const message of messages.val) this.#handleMessage(message);
   }
@@ -228,18 +236,18 @@
   }
 
   #reject(code: ResultCode): void {
-    this.#parts.onMalformed(code);
+    this.#options.onMalformed(code);
     this.close();
   }
 
   #handleFrame(frame: Frame): void {
     if (frame.type === "call") return void this.#serve(frame);
     if (frame.type === "ping") {
-      if (frame.id !== PING_ASKS) return;
-      return this.#send({ type: "ping", id: PING_ANSWERS });
+      if (frame.id !== PING_REQUEST) return;
+      return this.#send({ type: "ping", id: PING_REPLY });
     }
     if (frame.type === "cancel") {
-      return this.#served.get(frame.id)?.abort(ABORTED);
+      return this.#running.get(frame.id)?.abort(ABORTED);
     }
     const pending = this.#pending.get(frame.id);
     if (pending === undefined) return;
@@ -261,9 +269,9 @@
 
   async #serve(frame: Frame): Promise<void> {
     const controller = new AbortController();
-    this.#served.set(frame.id, controller);
+    this.#running.set(frame.id, controller);
     const outcome = await this.#runHandler(frame, controller.signal);
-    this.#served.delete(frame.id);
+    this.#running.delete(frame.id);
     if (controller.signal.aborted) return;
     if (outcome.ok) {
       this.#send({ type: "reply", id: frame.id, body: outcome.val });
@@ -277,14 +285,14 @@
     signal: AbortSignal,
   ): Promise<Outcome<unknown>> {
     const name = frame.name ?? "";
-    const handlers = this.#parts.handlers as Readonly<
+    const handlers = this.#options.handlers as Readonly<
       Record<string, AnyHandler>
     >;
     const handler = Object.hasOwn(handlers, name) ? handlers[name] : undefined;
     if (handler === undefined) {
       return fail(
         RESULT_CODES.UNKNOWN_METHOD,
-        "This process has no such method",
+        "This process does not serve the called method",
       );
     }
     const context: CallContext<unknown> = {
--- a/packages/transport/src/frame.ts
+++ b/packages/transport/src/frame.ts
@@ -1,4 +1,4 @@
-/** Length-prefixed CBOR frames. */
+/** Encodes and decodes length-prefixed CBOR frames. */
 
 import { Buffer } from "node:buffer";
 import { decode, encode } from "cbor-x";
@@ -7,15 +7,15 @@
 
 const LENGTH_BYTES = 4;
 
-/** Version of the protocol between the processes. */
+/** Version of the protocol between mallowlift processes. */
 export const PROTOCOL_VERSION = 1;
 
 /** One message on a connection after the handshake. */
 export interface Frame {
   readonly type: "call" | "chunk" | "reply" | "error" | "cancel" | "ping";
-  /** Number of the call that the frame belongs to; 0 for a ping. */
+  /** Id of the call that the frame belongs to; in a ping, 1 requests a reply and 0 is the reply. */
   readonly id: number;
-  /** Name of the handler, in a call. */
+  /** Name of the called method; only in a call. */
   readonly name?: string;
   readonly body?: unknown;
 }
@@ -39,45 +39,48 @@
 /** Splits a byte stream into messages. */
 export class FrameReader {
   #maxBytes: number;
-  #parts: Buffer[] = [];
+  #chunks: Buffer[] = [];
   #length = 0;
 
   constructor(maxBytes: number) {
     this.#maxBytes = maxBytes;
   }
 
-  /** Changes the limit, once the peer has proved the key. */
+  /** Changes the frame size limit, once the peer has proved that it knows the shared key. */
   setLimit(maxBytes: number): void {
     this.#maxBytes = maxBytes;
   }
 
   /**
-   * Takes bytes and returns the messages that are now whole.
+   * Adds received bytes and returns the messages that are now complete.
    *
    * @returns FRAME_TOO_LARGE or FRAME_MALFORMED if the stream is unusable
    */
   push(bytes: Buffer): Outcome<unknown[]> {
-    this.#parts.push(bytes);
+    this.#chunks.push(bytes);
     this.#length += bytes.length;
     const messages: unknown[] = [];
     while (this.#length >= LENGTH_BYTES) {
       const size = this.#peekSize();
       if (size > this.#maxBytes) {
-        return fail(RESULT_CODES.FRAME_TOO_LARGE, `Frame of ${size} bytes`);
+        return fail(
+          RESULT_CODES.FRAME_TOO_LARGE,
+          `Frame of ${size} bytes exceeds the limit`,
+        );
       }
       if (this.#length < LENGTH_BYTES + size) break;
       const payload = this.#take(LENGTH_BYTES + size).subarray(LENGTH_BYTES);
       try {
         messages.push(decode(payload));
       } catch {
-        return fail(RESULT_CODES.FRAME_MALFORMED, "Frame is not CBOR");
+        return fail(RESULT_CODES.FRAME_MALFORMED, "Frame is not valid CBOR");
       }
     }
     return Ok(messages);
   }
 
   #peekSize(): number {
-    const first = this.#parts[0];
+    const first = this.#chunks[0];
     if (first !== undefined && first.length >= LENGTH_BYTES) {
       return first.readUInt32BE(0);
     }
@@ -85,28 +88,35 @@
   }
 
   #take(size: number): Buffer {
-    const whole = this.#join();
-    const rest = whole.subarray(size);
-    this.#parts = rest.length === 0 ? [] : [rest];
+    const joined = this.#join();
+    const rest = joined.subarray(size);
+    this.#chunks = rest.length === 0 ? [] : [rest];
     this.#length = rest.length;
-    return whole.subarray(0, size);
+    return joined.subarray(0, size);
   }
 
   #join(): Buffer {
-    if (this.#parts.length !== 1) this.#parts = [Buffer.concat(this.#parts)];
-    return this.#parts[0] ?? Buffer.alloc(0);
+    if (this.#chunks.length !== 1) this.#chunks = [Buffer.concat(this.#chunks)];
+    return this.#chunks[0] ?? Buffer.alloc(0);
   }
 }
 
 const FRAME_TYPES = ["call", "chunk", "reply", "error", "cancel", "ping"];
 
-/** Checks that a decoded value is a frame. */
+/**
+ * Checks that a decoded value is a frame.
+ *
+ * @returns FRAME_MALFORMED if it is not
+ */
 export function checkFrame(value: unknown): Outcome<Frame> {
   if (isFrame(value)) return Ok(value);
-  // Made only here: an error records its stack, which took an eighth of the
-  // processor time of an idle leader when each frame made one (a profile of
-  // 10 s: 7.4 of 62 ms a second).
-  return fail(RESULT_CODES.FRAME_MALFORMED, "Frame has no known type");
+  // The error is created only on failure, because an error captures its stack
+  // trace. Creating one per frame took an eighth of the CPU time of an idle
+  // leader (7.4 of 62 ms per second).
+  return fail(
+    RESULT_CODES.FRAME_MALFORMED,
+    "Frame has a missing or invalid type, id or name",
+  );
 }
 
 function isFrame(value: unknown): value is Frame {
--- a/packages/transport/src/frame_test.ts
+++ b/packages/transport/src/frame_test.ts
@@ -6,7 +6,7 @@
 const SEED = 1;
 const LIMIT = 65_536;
 
-test("messages come out whole however the bytes are cut", (t) => {
+test("messages are decoded completely however the bytes are split", (t) => {
   fc.assert(
     fc.property(
       fc.array(fc.record({ id: fc.nat(), text: fc.string() }), {
@@ -37,7 +37,7 @@
   t.end();
 });
 
-test("no bytes make the reader throw", (t) => {
+test("the reader does not throw on arbitrary bytes", (t) => {
   fc.assert(
     fc.property(
       fc.array(fc.uint8Array({ maxLength: 64 }), { maxLength: 10 }),
@@ -55,10 +55,10 @@
   t.end();
 });
 
-test("a frame above the limit is refused before its bytes arrive", (t) => {
-  const head = Buffer.alloc(4);
-  head.writeUInt32BE(LIMIT + 1, 0);
-  const refused = new FrameReader(LIMIT).push(head);
+test("a frame above the size limit is rejected before its payload arrives", (t) => {
+  const lengthPrefix = Buffer.alloc(4);
+  lengthPrefix.writeUInt32BE(LIMIT + 1, 0);
+  const refused = new FrameReader(LIMIT).push(lengthPrefix);
   t.equal(refused.err && refused.val.code.name, "FRAME_TOO_LARGE");
   t.end();
 });
--- a/packages/transport/src/handlers.ts
+++ b/packages/transport/src/handlers.ts
@@ -1,36 +1,38 @@
-/** Handlers that a process serves to its peers. */
+/** Types of the calls between processes and of their handlers. */
 
 import type { HandlerName, InternalHandlers, Outcome } from "@mallowlift/core";
 
-/** What a handler knows of the call it serves. */
+/** Context of the call that a handler serves. */
 export interface CallContext<Chunk> {
-  /** Name of the calling daemon, as it gave it. */
+  /** Name that the calling daemon sent in the handshake. */
   readonly peer: string;
-  /** Aborts when the caller cancels or its connection breaks. */
+  /** Aborts when the caller cancels the call or its connection closes. */
   readonly signal: AbortSignal;
-  /** Sends one part of the answer. */
+  /** Sends one chunk of a streamed reply. */
   sendChunk(chunk: Chunk): void;
 }
 
-/** Serves one internal method. */
+/** Handles calls of one internal method. */
 export type Handler<N extends HandlerName> = (
   request: InternalHandlers[N]["request"],
   context: CallContext<InternalHandlers[N]["chunk"]>,
 ) => Promise<Outcome<InternalHandlers[N]["reply"]>>;
 
-/** The methods that a process serves. */
+/** Handlers of a process by the method that they serve. */
 export type HandlerTable = { [N in HandlerName]?: Handler<N> };
 
-/** How to make a call. */
+/** Options of a call. */
 export interface CallOptions<N extends HandlerName> {
   readonly timeoutMilliseconds: number;
+  /** Called with each chunk of a streamed reply. */
   readonly onChunk?: (chunk: InternalHandlers[N]["chunk"]) => void;
+  /** Cancels the call when it aborts. */
   readonly signal?: AbortSignal;
 }
 
-/** Something that calls can be made on. */
+/** Calls methods of another process. */
 export interface Caller {
-  /** Bytes that wait to be sent, where that is known. */
+  /** Bytes that are not sent yet, if known. */
   readonly unsentBytes?: number;
   /** Calls a method of the peer. */
   call<N extends HandlerName>(
--- a/packages/transport/src/handshake.ts
+++ b/packages/transport/src/handshake.ts
@@ -1,6 +1,6 @@
 /**
- * Proof of the shared key when a connection opens. Each side proves the key
- * over both nonces, so a recorded handshake is of no use to anyone.
+ * Mutual authentication with the shared key when a connection opens. Each
+ * proof covers both nonces, so that a recorded handshake cannot be replayed.
  */
 
 import { createHmac, randomBytes } from "node:crypto";
@@ -9,40 +9,40 @@
 
 const NONCE_BYTES = 16;
 
-/** Largest frame before the key is proved. */
+/** Largest frame that is accepted before the peer is authenticated, bytes. */
 export const HANDSHAKE_MAX_BYTES = 1_024;
 
-/** First message of a client. */
+/** First message of the handshake, sent by the client. */
 export interface Hello {
   readonly version: number;
   readonly nonce: string;
 }
 
-/** Answer of a server. */
+/** Second message of the handshake, sent by the server. */
 export interface ServerProof extends Hello {
   readonly proof: string;
 }
 
-/** Last message of the handshake. */
+/** Last message of the handshake, sent by the client. */
 export interface ClientProof {
   readonly proof: string;
   /** Name of the client daemon, for logs. */
   readonly name: string;
 }
 
-/** Both nonces of one handshake. */
+/** Nonces of both sides of one handshake, hex. */
 export interface Nonces {
   readonly client: string;
   readonly server: string;
 }
 
-/** Makes the first message of one side. */
+/** Creates the version and a random nonce for one side. */
 export function createHello(): Hello {
   const nonce = randomBytes(NONCE_BYTES).toString("hex");
   return { version: PROTOCOL_VERSION, nonce };
 }
 
-/** Proves the key for one side of the handshake. */
+/** Computes the proof of one side: an HMAC of the side and both nonces, hex. */
 export function createProof(
   side: "client" | "server",
   nonces: Nonces,
@@ -52,7 +52,7 @@
   return createHmac("sha256", sharedKey).update(text).digest("hex");
 }
 
-/** Checks the other side's proof. */
+/** Checks the proof that a side sent, in constant time. */
 export function checkProof(
   side: "client" | "server",
   nonces: Nonces,
@@ -63,7 +63,7 @@
   return equalsInConstantTime(expected, options.proof);
 }
 
-/** Returns the nonce of a hello, or undefined if it is not one. */
+/** Returns the nonce of a valid hello of this protocol version, otherwise undefined. */
 export function readNonce(value: unknown): string | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const hello = value as Partial<Hello>;
--- a/packages/transport/src/peer_link.ts
+++ b/packages/transport/src/peer_link.ts
@@ -1,4 +1,4 @@
-/** A link to one other daemon, reconnected by its own task for as long as it lives. */
+/** Keeps a connection to one other daemon open and reconnects it in the background. */
 
 import { connect as connectSocket, type Socket } from "node:net";
 import { performance } from "node:perf_hooks";
@@ -29,30 +29,33 @@
 } from "./handshake.ts";
 import { HandshakeMessages } from "./peer_server.ts";
 
-const FIRST_RETRY_MILLISECONDS = 20;
-/** Longest pause between two attempts, ms: a peer that starts is found while callers still wait. */
-const LAST_RETRY_MILLISECONDS = 160;
+/** Delay after the first failed attempt and after a lost connection, ms. */
+const MIN_RETRY_DELAY_MILLISECONDS = 20;
+/** Longest delay between two attempts to connect, ms: short enough to reach a starting peer before pending calls time out. */
+const MAX_RETRY_DELAY_MILLISECONDS = 160;
 
-/** What a link needs. */
+/** Options of a link. */
 export interface PeerLinkOptions {
   /** Name of this daemon. */
   readonly name: string;
   readonly sharedKey: string;
   readonly maxFrameBytes: number;
+  /** Limit of one attempt to connect, and of a call's wait for a connection, ms. */
   readonly connectMilliseconds: number;
   readonly metrics?: Metrics;
 }
 
-/** Keeps a connection to one address open. */
+/** Keeps a connection to one address open until it is stopped. */
 export class PeerLink implements Caller {
   readonly address: string;
   readonly #options: PeerLinkOptions;
   readonly #stopped = new AbortController();
-  readonly #changed = new WakeSignal();
+  /** Woken when an attempt to connect succeeds or fails. */
+  readonly #attemptEnded = new WakeSignal();
   #connection: Connection | undefined;
   #lastUsedAt = performance.now();
-  /** True after a failed attempt, so that callers look elsewhere at once. */
-  #isRefused = false;
+  /** True after a failed attempt to connect: calls then fail at once, so that the caller can use another peer. */
+  #lastAttemptFailed = false;
 
   constructor(address: string, options: PeerLinkOptions) {
     this.address = address;
@@ -65,19 +68,19 @@
     return this.#connection?.isOpen === true;
   }
 
-  /** Bytes that wait to be sent; none without a connection. */
+  /** Bytes that are not sent yet; 0 without a connection. */
   get unsentBytes(): number {
     return this.#connection?.unsentBytes ?? 0;
   }
 
-  /** When the link last began to carry a call, by the monotonic clock, ms. */
+  /** Time when the last call started, monotonic, ms. */
   get lastUsedAt(): number {
     return this.#lastUsedAt;
   }
 
   /**
-   * Calls a method of the peer. Waits for a connection no longer than the
-   * connect limit; NOT_CONNECTED means that nothing was sent.
+   * Calls a method of the peer. Waits for a connection for at most
+   * `connectMilliseconds`; NOT_CONNECTED means that nothing was sent.
    */
   async call<N extends HandlerName>(
     name: N,
@@ -85,12 +88,12 @@
     options: CallOptions<N>,
   ): Promise<Outcome<InternalHandlers[N]["reply"]>> {
     this.#lastUsedAt = performance.now();
-    if (!this.isConnected && !this.#isRefused) {
+    if (!this.isConnected && !this.#lastAttemptFailed) {
       const limit = Math.min(
         this.#options.connectMilliseconds,
         options.timeoutMilliseconds,
       );
-      await this.#changed.wait(limit);
+      await this.#attemptEnded.wait(limit);
     }
     const connection = this.#connection;
     if (connection === undefined || !connection.isOpen) {
@@ -102,41 +105,41 @@
     return await connection.call(name, request, options);
   }
 
-  /** Closes the link for good. */
+  /** Closes the connection and stops reconnecting. */
   stop(): void {
     this.#stopped.abort(ABORTED);
     this.#connection?.close();
   }
 
   async #keepConnected(): Promise<void> {
-    let delay = FIRST_RETRY_MILLISECONDS;
+    let delay = MIN_RETRY_DELAY_MILLISECONDS;
     while (!this.#stopped.signal.aborted) {
       const connection = await this.#connect();
-      this.#isRefused = connection === undefined;
+      this.#lastAttemptFailed = connection === undefined;
       if (connection === undefined) {
-        this.#changed.wake();
+        this.#attemptEnded.wake();
         await sleep(delay, this.#stopped.signal);
-        delay = Math.min(delay * 2, LAST_RETRY_MILLISECONDS);
+        delay = Math.min(delay * 2, MAX_RETRY_DELAY_MILLISECONDS);
         continue;
       }
-      delay = FIRST_RETRY_MILLISECONDS;
+      delay = MIN_RETRY_DELAY_MILLISECONDS;
       this.#connection = connection;
       if (this.#stopped.signal.aborted) connection.close();
-      this.#changed.wake();
+      this.#attemptEnded.wake();
       await connection.closed;
-      await sleep(FIRST_RETRY_MILLISECONDS, this.#stopped.signal);
+      await sleep(MIN_RETRY_DELAY_MILLISECONDS, this.#stopped.signal);
     }
   }
 
   async #connect(): Promise<Connection | undefined> {
     const socket = connectSocket(parseAddress(this.address));
     const limit = this.#options.connectMilliseconds;
-    const connection = await waitAtMost(this.#shakeHands(socket), limit);
+    const connection = await waitAtMost(this.#handshake(socket), limit);
     if (connection === undefined) socket.destroy();
     return connection;
   }
 
-  async #shakeHands(socket: Socket): Promise<Connection | undefined> {
+  async #handshake(socket: Socket): Promise<Connection | undefined> {
     const connected = createDeferred<boolean>();
     socket.once("connect", () => connected.resolve(true));
     socket.on("error", () => connected.resolve(false));
@@ -145,14 +148,14 @@
     if (!await connected.promise) return undefined;
     const hello = createHello();
     socket.write(encodeFrame(hello));
-    const answer = await messages.next() as Partial<ServerProof> | undefined;
-    const serverNonce = readNonce(answer);
+    const reply = await messages.next() as Partial<ServerProof> | undefined;
+    const serverNonce = readNonce(reply);
     if (serverNonce === undefined) return undefined;
     const { sharedKey, name } = this.#options;
     const nonces = { client: hello.nonce, server: serverNonce };
     const proved = checkProof("server", nonces, {
       sharedKey,
-      proof: answer?.proof,
+      proof: reply?.proof,
     });
     if (!proved) return undefined;
     const proof = createProof("client", nonces, sharedKey);
--- a/packages/transport/src/peer_link_test.ts
+++ b/packages/transport/src/peer_link_test.ts
@@ -17,7 +17,7 @@
 import { PeerLink } from "./peer_link.ts";
 import { PeerServer } from "./peer_server.ts";
 
-const KEY = "shared";
+const SHARED_KEY = "shared";
 const LIMITS = { maxFrameBytes: 65_536, connectMilliseconds: 2_000 };
 const CALL = { timeoutMilliseconds: 5_000 };
 
@@ -25,7 +25,7 @@
   const metrics = createMetrics();
   const server = new PeerServer({
     listen: "127.0.0.1:0",
-    sharedKey: KEY,
+    sharedKey: SHARED_KEY,
     maxFrameBytes: LIMITS.maxFrameBytes,
     handshakeMilliseconds: LIMITS.connectMilliseconds,
     handlers,
@@ -35,11 +35,11 @@
   return { server, metrics, address: await server.start() };
 }
 
-function createLink(address: string, sharedKey = KEY): PeerLink {
+function createLink(address: string, sharedKey = SHARED_KEY): PeerLink {
   return new PeerLink(address, { name: "test", sharedKey, ...LIMITS });
 }
 
-test("a call gets its chunks and its answer, a refusal its code", async (t) => {
+test("a call returns its chunks and its reply, or the code of an error", async (t) => {
   const { server, address } = await startServer({
     "attempts.attach": (request, context) => {
       context.sendChunk({ offset: request.offset, text: "ice" });
@@ -76,7 +76,7 @@
   await server.stop();
 });
 
-test("a broken connection ends a call as lost and aborts its handler", async (t) => {
+test("a lost connection ends a call with CONNECTION_LOST and aborts its handler", async (t) => {
   const started = createDeferred<void>();
   const aborted = createDeferred<void>();
   const { server, address } = await startServer({
@@ -103,7 +103,7 @@
   await server.stop();
 });
 
-test("a peer with another key is refused and nothing is sent", async (t) => {
+test("a peer with another shared key is rejected and no call is sent", async (t) => {
   const { server, address } = await startServer({});
   const link = new PeerLink(address, {
     name: "test",
@@ -117,7 +117,7 @@
   await server.stop();
 });
 
-test("garbage on the port is refused, counted, and the server goes on", async (t) => {
+test("invalid bytes on the port are rejected and counted, and the server keeps serving", async (t) => {
   const { server, metrics, address } = await startServer({
     "cache.release": () => Promise.resolve(Ok({})),
   });
@@ -134,14 +134,14 @@
   await server.stop();
 });
 
-test("a peer that goes silent after a call is given up, an idle one is not", async (t) => {
+test("a connection that receives nothing after a call is closed, an idle one stays open", async (t) => {
   const silent = createServer({ pauseOnConnect: true });
   await new Promise<void>((resolve) =>
     silent.listen(0, "127.0.0.1", () => resolve())
   );
   t.teardown(() => silent.close());
   const { port } = silent.address() as AddressInfo;
-  const openSilent = () =>
+  const connectToSilentPeer = () =>
     new Connection({
       socket: connect(port, "127.0.0.1"),
       reader: new FrameReader(1_024),
@@ -149,8 +149,8 @@
       handlers: {},
       onMalformed: () => undefined,
     });
-  const idle = openSilent();
-  const called = openSilent();
+  const idle = connectToSilentPeer();
+  const called = connectToSilentPeer();
   const answer = await called.call("replica.status", {}, {
     timeoutMilliseconds: 60_000,
   });
--- a/packages/transport/src/peer_links.ts
+++ b/packages/transport/src/peer_links.ts
@@ -1,15 +1,15 @@
-/** The links of one daemon, one per address. */
+/** Manages the links of one daemon to its peers by address. */
 
 import { PeerLink, type PeerLinkOptions } from "./peer_link.ts";
 
 /**
- * Time without a call after which a link is dropped, ms: far above the pauses
- * between two exchanges of a pair of daemons, so that only those that are gone
- * or of no further use are dropped.
+ * Time without a call after which a link is dropped, ms. Daemons that still
+ * need each other exchange calls much more often, so only links to daemons
+ * that are gone or no longer needed are dropped.
  */
-const IDLE_MILLISECONDS = 120_000;
+const IDLE_TIMEOUT_MILLISECONDS = 120_000;
 
-/** Makes links when they are first needed and drops idle ones. */
+/** Creates links on first use and drops idle ones. */
 export class PeerLinks {
   readonly #options: PeerLinkOptions;
   readonly #links = new Map<string, PeerLink>();
@@ -26,28 +26,30 @@
   }
 
   /**
-   * Returns a second link to an address, for large messages: on one connection
-   * all that comes after such a message waits until it has left.
+   * Returns a second link to an address, for large messages: a large message
+   * delays all messages that are sent after it on the same connection.
    */
   getBulk(address: string): PeerLink {
     return this.#find(this.#bulkLinks, address);
   }
 
   /**
-   * Drops links that carried nothing for a while: a link keeps trying to
-   * connect for as long as it lives, also to a daemon that is gone for good.
+   * Drops links without a recent call. Until it is stopped, a link keeps
+   * trying to connect, even to a daemon that is permanently gone.
+   *
+   * @param now present time, monotonic, ms
    */
   dropIdle(now: number): void {
     for (const links of [this.#links, this.#bulkLinks]) {
       for (const link of links.values()) {
-        if (now - link.lastUsedAt < IDLE_MILLISECONDS) continue;
+        if (now - link.lastUsedAt < IDLE_TIMEOUT_MILLISECONDS) continue;
         link.stop();
         links.delete(link.address);
       }
     }
   }
 
-  /** Addresses that links are kept to. */
+  /** Returns the addresses that have a link. */
   list(): readonly string[] {
     return [...this.#links.keys()];
   }
@@ -62,11 +64,11 @@
   }
 
   #find(links: Map<string, PeerLink>, address: string): PeerLink {
-    const known = links.get(address);
-    if (known !== undefined) return known;
+    const existing = links.get(address);
+    if (existing !== undefined) return existing;
     const link = new PeerLink(address, this.#options);
     links.set(address, link);
-    // A task that ends later than the links must not open new connections.
+    // A task that is still running after stop() must not open new connections.
     if (this.#stopped) link.stop();
     return link;
   }
--- a/packages/transport/src/peer_server.ts
+++ b/packages/transport/src/peer_server.ts
@@ -1,4 +1,4 @@
-/** Accepts connections from other daemons; one task per connection. */
+/** Accepts connections from other daemons and serves their calls. */
 
 import type { Buffer } from "node:buffer";
 import { createServer, type Server, type Socket } from "node:net";
@@ -23,18 +23,19 @@
   readNonce,
 } from "./handshake.ts";
 
-/** What a server needs. */
+/** Options of a server. */
 export interface PeerServerOptions {
   readonly listen: string;
   readonly sharedKey: string;
   readonly maxFrameBytes: number;
+  /** Limit of the handshake of one connection, ms. */
   readonly handshakeMilliseconds: number;
   readonly handlers: HandlerTable;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Listens for other daemons. */
+/** Listens for other daemons and authenticates their connections. */
 export class PeerServer {
   readonly #options: PeerServerOptions;
   readonly #server: Server;
@@ -45,7 +46,7 @@
     this.#server = createServer((socket) => void this.#accept(socket));
   }
 
-  /** Starts to listen and returns the bound address. */
+  /** Starts listening and returns the bound address; throws if the port cannot be opened. */
   async start(): Promise<string> {
     const { host, port } = parseAddress(this.#options.listen);
     const ready = createDeferred<Error | undefined>();
@@ -75,9 +76,9 @@
     const reader = new FrameReader(HANDSHAKE_MAX_BYTES);
     const messages = new HandshakeMessages(socket, reader);
     const limit = this.#options.handshakeMilliseconds;
-    const peer = await waitAtMost(this.#shakeHands(socket, messages), limit);
+    const peer = await waitAtMost(this.#handshake(socket, messages), limit);
     if (peer === undefined) {
-      this.#countMalformed(RESULT_CODES.HANDSHAKE_REFUSED);
+      this.#reportMalformed(RESULT_CODES.HANDSHAKE_REFUSED);
       socket.end(
         encodeFrame({ refused: RESULT_CODES.HANDSHAKE_REFUSED.number }),
       );
@@ -91,13 +92,13 @@
       reader,
       peer,
       handlers: this.#options.handlers,
-      onMalformed: (code) => this.#countMalformed(code),
+      onMalformed: (code) => this.#reportMalformed(code),
       metrics: this.#options.metrics,
     });
-    connection.readAhead(messages.takeRest());
+    connection.handleEarlyMessages(messages.takeRemaining());
   }
 
-  async #shakeHands(
+  async #handshake(
     socket: Socket,
     messages: HandshakeMessages,
   ): Promise<string | undefined> {
@@ -108,37 +109,38 @@
     const sharedKey = this.#options.sharedKey;
     const proof = createProof("server", nonces, sharedKey);
     socket.write(encodeFrame({ ...hello, proof }));
-    const answer = await messages.next() as Partial<ClientProof> | undefined;
+    const reply = await messages.next() as Partial<ClientProof> | undefined;
     const proved = checkProof("client", nonces, {
       sharedKey,
-      proof: answer?.proof,
+      proof: reply?.proof,
     });
-    if (!proved || typeof answer?.name !== "string") return undefined;
-    return answer.name;
+    if (!proved || typeof reply?.name !== "string") return undefined;
+    return reply.name;
   }
 
-  #countMalformed(code: ResultCode): void {
+  #reportMalformed(code: ResultCode): void {
     this.#options.metrics.malformedFrames.inc({ reason: code.name });
     this.#options.logger.warn("Connection refused", { code: code.number });
   }
 }
 
-/** Hands out the messages of a handshake one by one. */
+/** Reads the messages of a handshake one at a time. */
 export class HandshakeMessages {
   readonly #socket: Socket;
   readonly #reader: FrameReader;
   readonly #messages: unknown[] = [];
-  #waiting = createDeferred<void>();
+  /** Resolves when messages arrive or no more can come. */
+  #changed = createDeferred<void>();
   #ended = false;
   readonly #onData = (bytes: Buffer): void => {
     const messages = this.#reader.push(bytes);
     if (messages.err) this.#ended = true;
     else this.#messages.push(...messages.val);
-    this.#waiting.resolve(undefined);
+    this.#changed.resolve(undefined);
   };
   readonly #onClose = (): void => {
     this.#ended = true;
-    this.#waiting.resolve(undefined);
+    this.#changed.resolve(undefined);
   };
 
   constructor(socket: Socket, reader: FrameReader) {
@@ -148,24 +150,24 @@
     socket.on("close", this.#onClose);
   }
 
-  /** Returns the next message, or undefined if none can come. */
+  /** Waits for the next message; undefined if the stream has closed or is malformed. */
   async next(): Promise<unknown> {
     while (this.#messages.length === 0) {
       if (this.#ended) return undefined;
-      await this.#waiting.promise;
-      this.#waiting = createDeferred<void>();
+      await this.#changed.promise;
+      this.#changed = createDeferred<void>();
     }
     return this.#messages.shift();
   }
 
-  /** Leaves the socket to its next reader. */
+  /** Stops reading, so that the connection can take over the socket. */
   stop(): void {
     this.#socket.off("data", this.#onData);
     this.#socket.off("close", this.#onClose);
   }
 
-  /** Returns messages that came after the handshake. */
-  takeRest(): readonly unknown[] {
+  /** Removes and returns the messages that arrived after the handshake. */
+  takeRemaining(): readonly unknown[] {
     return this.#messages.splice(0);
   }
 }
