--- a/packages/boot/src/boot_daemon.ts
+++ b/packages/boot/src/boot_daemon.ts
@@ -1,28 +1,29 @@
-/** Opens the callers' port, then loads and runs the daemon. */
+/** Opens the port for callers, then loads and runs the daemon. */
 
 import process from "node:process";
 import {
-  findCallersListen,
+  findCallersAddress,
   findSettingsPath,
   readSettingsText,
 } from "./find_callers_listen.ts";
 import { HeldPort } from "./held_port.ts";
 
-/** What the first steps of a process leave to the daemon. */
-export interface BootParts {
-  /** Callers' port, if the settings give one. */
+/** Results of the boot that the daemon uses. */
+export interface BootResult {
+  /** Port for callers; undefined if the settings name none or it cannot be opened. */
   readonly heldPort: HeldPort | undefined;
-  /** Resolves once the process is asked to end, also while it still starts. */
-  readonly stopAsked: Promise<void>;
+  /** Resolves when the process is asked to stop, even while it is still starting. */
+  readonly stopRequested: Promise<void>;
 }
 
-/** Runs a daemon on what the first steps have left. */
-export type DaemonMain = (parts: BootParts) => void;
+/** Runs a daemon with the results of the boot. */
+export type DaemonMain = (boot: BootResult) => void;
 
 const STOP_SIGNALS = ["SIGTERM", "SIGINT"] as const;
 
 /**
- * Boots a daemon; its code is loaded only once the port is open.
+ * Boots a daemon. Its code is loaded only after the port is open, so that
+ * callers can connect during the load.
  *
  * @example
  * ```ts
@@ -30,25 +31,26 @@
  * ```
  */
 export async function bootDaemon(load: () => DaemonMain): Promise<void> {
-  const stopAsked = new Promise<void>((resolve) => {
+  const stopRequested = new Promise<void>((resolve) => {
     for (const signal of STOP_SIGNALS) process.once(signal, () => resolve());
   });
-  // Unheard it would end the process; the settings are read later in any case.
+  // Without a handler, SIGHUP would end the process. It can be ignored here,
+  // because the settings are read later.
   process.on("SIGHUP", () => undefined);
-  const heldPort = await holdCallersPort(process.argv.slice(2));
-  load()({ heldPort, stopAsked });
+  const heldPort = await openCallersPort(process.argv.slice(2));
+  load()({ heldPort, stopRequested });
 }
 
-/** Opens the port that the settings give to callers; undefined if there is none. */
-export async function holdCallersPort(
+/** Opens the port for callers; undefined if the settings name none or it cannot be opened. */
+export async function openCallersPort(
   commandLine: readonly string[],
 ): Promise<HeldPort | undefined> {
-  // A check of the settings opens nothing.
+  // Checking the settings does not need a port.
   if (commandLine.includes("--check")) return undefined;
   const path = findSettingsPath(commandLine);
   if (path === undefined) return undefined;
-  const address = findCallersListen(readSettingsText(path));
+  const address = findCallersAddress(readSettingsText(path));
   if (address === undefined) return undefined;
-  // A port that cannot be opened is reported by the server that needs it.
+  // If the port cannot be opened, the server that needs it reports the error.
   return await HeldPort.open(address).catch(() => undefined);
 }
--- a/packages/boot/src/boot_daemon_test.ts
+++ b/packages/boot/src/boot_daemon_test.ts
@@ -2,13 +2,13 @@
 import { createServer } from "node:net";
 import process from "node:process";
 import { test } from "tap";
-import { holdCallersPort } from "./boot_daemon.ts";
+import { openCallersPort } from "./boot_daemon.ts";
 
-const ASKED = 7;
-const NOT_ASKED = 1;
+const EXPECTED_EXIT_CODE = 7;
+const TIMEOUT_EXIT_CODE = 1;
 const MODULE = require.resolve("./mod.js");
 
-/** Runs a script in a process of its own; returns its exit code or signal. */
+/** Runs a script in a separate process; returns its exit code or signal. */
 function runScript(script: string): Promise<unknown> {
   const { NODE_OPTIONS: _options, ...environment } = process.env;
   return new Promise((resolve) => {
@@ -21,48 +21,48 @@
   });
 }
 
-test("an order to end that comes while the code is loaded is kept", async (t) => {
-  const ended = await runScript(`
+test("a stop request during the load of the code is not lost", async (t) => {
+  const exit = await runScript(`
     const { bootDaemon } = require(${JSON.stringify(MODULE)});
     void bootDaemon(() => {
       process.kill(process.pid, "SIGTERM");
-      return ({ stopAsked }) => {
-        void stopAsked.then(() => process.exit(${ASKED}));
-        setTimeout(() => process.exit(${NOT_ASKED}), 20_000);
+      return ({ stopRequested }) => {
+        void stopRequested.then(() => process.exit(${EXPECTED_EXIT_CODE}));
+        setTimeout(() => process.exit(${TIMEOUT_EXIT_CODE}), 20_000);
       };
     });
   `);
-  t.equal(ended, ASKED);
+  t.equal(exit, EXPECTED_EXIT_CODE);
 });
 
-test("a word of changed settings that comes meanwhile ends nothing", async (t) => {
-  const ended = await runScript(`
+test("SIGHUP during the load of the code does not end the process", async (t) => {
+  const exit = await runScript(`
     const { bootDaemon } = require(${JSON.stringify(MODULE)});
     void bootDaemon(() => {
       process.kill(process.pid, "SIGHUP");
-      return () => setTimeout(() => process.exit(${ASKED}), 200);
+      return () => setTimeout(() => process.exit(${EXPECTED_EXIT_CODE}), 200);
     });
   `);
-  t.equal(ended, ASKED);
+  t.equal(exit, EXPECTED_EXIT_CODE);
 });
 
-test("no port is held where the command line gives none", async (t) => {
-  t.equal(await holdCallersPort([]), undefined);
-  t.equal(await holdCallersPort(["--settings", "/no/such/file"]), undefined);
+test("a port is opened only for the settings of a gateway", async (t) => {
+  t.equal(await openCallersPort([]), undefined);
+  t.equal(await openCallersPort(["--settings", "/no/such/file"]), undefined);
   const folder = t.testdir({
     "store.ini": "[daemon]\nroles = store\n",
     "gateway.ini":
       "[daemon]\nroles = gateway\n[gateway]\ncallers_listen = 127.0.0.1:0\n",
   });
-  t.equal(await holdCallersPort(["-s", `${folder}/store.ini`]), undefined);
+  t.equal(await openCallersPort(["-s", `${folder}/store.ini`]), undefined);
   const checked = ["--check", "-s", `${folder}/gateway.ini`];
-  t.equal(await holdCallersPort(checked), undefined);
-  const held = await holdCallersPort(["-s", `${folder}/gateway.ini`]);
+  t.equal(await openCallersPort(checked), undefined);
+  const held = await openCallersPort(["-s", `${folder}/gateway.ini`]);
   t.ok((held?.port ?? 0) > 0);
   held?.close();
 });
 
-test("a port in use is left to the server that reports it", async (t) => {
+test("a port in use is ignored, so that the server reports it", async (t) => {
   const server = createServer();
   await new Promise<void>((resolve) =>
     server.listen(0, "127.0.0.1", () => resolve())
@@ -74,7 +74,7 @@
       `[daemon]\nroles = gateway\n[gateway]\ncallers_listen = 127.0.0.1:${port}\n`,
   });
   t.equal(
-    await holdCallersPort(["-s", `${folder}/gateway.ini`]),
+    await openCallersPort(["-s", `${folder}/gateway.ini`]),
     undefined,
   );
   server.close();
--- a/packages/boot/src/find_callers_listen_test.ts
+++ b/packages/boot/src/find_callers_listen_test.ts
@@ -1,7 +1,7 @@
 import { test } from "tap";
-import { findCallersListen, findSettingsPath } from "./find_callers_listen.ts";
+import { findCallersAddress, findSettingsPath } from "./find_callers_listen.ts";
 
-test("the settings file is found on a command line", (t) => {
+test("the path of the settings file is found on a command line", (t) => {
   t.equal(findSettingsPath(["--settings", "a.ini"]), "a.ini");
   t.equal(findSettingsPath(["--check", "-s", "b.ini"]), "b.ini");
   t.equal(findSettingsPath(["--settings=c.ini"]), "c.ini");
@@ -9,18 +9,18 @@
   t.end();
 });
 
-test("only a gateway has a port for callers", (t) => {
+test("only a gateway has an address for callers", (t) => {
   const gateway = "[gateway]\ncallers_listen = 10.0.0.1:8149\n";
-  t.same(findCallersListen(`[daemon]\nroles = gateway\n${gateway}`), {
+  t.same(findCallersAddress(`[daemon]\nroles = gateway\n${gateway}`), {
     host: "10.0.0.1",
     port: 8149,
   });
-  t.same(findCallersListen(`[daemon]\nroles = store, gateway\n${gateway}`), {
+  t.same(findCallersAddress(`[daemon]\nroles = store, gateway\n${gateway}`), {
     host: "10.0.0.1",
     port: 8149,
   });
-  t.equal(findCallersListen(`[daemon]\nroles = store\n${gateway}`), undefined);
-  t.equal(findCallersListen("[daemon]\nroles = gateway\n"), undefined);
-  t.equal(findCallersListen("no settings at all"), undefined);
+  t.equal(findCallersAddress(`[daemon]\nroles = store\n${gateway}`), undefined);
+  t.equal(findCallersAddress("[daemon]\nroles = gateway\n"), undefined);
+  t.equal(findCallersAddress("no settings at all"), undefined);
   t.end();
 });
--- a/packages/boot/src/held_port.ts
+++ b/packages/boot/src/held_port.ts
@@ -1,18 +1,18 @@
-/** A port that takes connections before the server behind it is ready. */
+/** Accepts connections on a port before the HTTP server is ready. */
 
 import type { Server } from "node:http";
 import { createServer, type Socket } from "node:net";
 
-/** What a port is opened at. */
+/** Host and number of a port to open. */
 export interface PortAddress {
   readonly host: string;
   readonly port: number;
 }
 
 /**
- * Holds connections until a server adopts them. A daemon opens it first, so
- * that callers wait for the rest of the start instead of being refused: a
- * refused connection costs a caller one of its few tries.
+ * Holds accepted connections until a server takes them over. A daemon opens it
+ * first, so that callers wait during the start and are not refused: a refused
+ * connection costs a caller one of its few attempts.
  *
  * @example
  * ```ts
@@ -21,66 +21,67 @@
  * ```
  */
 export class HeldPort {
-  // Nothing is read: who reads a request owes it an answer, and the process
-  // may still be told to end before it can give one.
-  readonly #port = createServer(
+  // Nothing is read yet: a request that has been read needs an answer, and the
+  // process may be asked to stop before it can give one.
+  readonly #listener = createServer(
     { pauseOnConnect: true },
     (socket) => this.#hold(socket),
   );
-  readonly #waiting = new Set<Socket>();
+  readonly #connections = new Set<Socket>();
 
-  /** Opens the port; throws if it is in use. */
+  /** Opens the port; rejects if it is in use. */
   static open(address: PortAddress): Promise<HeldPort> {
     const held = new HeldPort();
     return new Promise((resolve, reject) => {
-      held.#port.once("error", reject);
-      held.#port.listen(address.port, address.host, () => resolve(held));
+      held.#listener.once("error", reject);
+      held.#listener.listen(address.port, address.host, () => resolve(held));
     });
   }
 
-  /** Connections that wait for a server. */
+  /** Number of connections that wait for a server. */
   get waiting(): number {
-    return this.#waiting.size;
+    return this.#connections.size;
   }
 
-  /** Port number. */
+  /** Number of the bound port; 0 if it is closed. */
   get port(): number {
-    const bound = this.#port.address();
+    const bound = this.#listener.address();
     return bound === null || typeof bound === "string" ? 0 : bound.port;
   }
 
-  /** Gives the port and the connections that wait to a server. */
+  /** Hands the port and its waiting connections over to a server. */
   adopt(server: Server): Promise<void> {
     return new Promise((resolve, reject) => {
       server.once("error", reject);
-      // The server takes over the listening handle of the port itself.
-      server.listen(this.#port, () => {
+      // The server takes over the listening handle of this listener.
+      server.listen(this.#listener, () => {
         server.off("error", reject);
-        for (const socket of this.#waiting) {
-          socket.off("error", ignoreBreak);
+        for (const socket of this.#connections) {
+          socket.off("error", ignoreError);
           server.emit("connection", socket);
           socket.resume();
         }
-        this.#waiting.clear();
+        this.#connections.clear();
         resolve();
       });
     });
   }
 
-  /** Closes the port and the connections that wait; for a start that failed. */
+  /** Closes the port and its waiting connections after a failed start. */
   close(): void {
-    this.#port.close();
-    for (const socket of this.#waiting) socket.destroy();
+    this.#listener.close();
+    for (const socket of this.#connections) socket.destroy();
   }
 
   #hold(socket: Socket): void {
-    this.#waiting.add(socket);
-    // Who goes while it waits has asked for nothing yet that could be logged.
-    socket.on("error", ignoreBreak);
-    socket.once("close", () => this.#waiting.delete(socket));
+    this.#connections.add(socket);
+    // No request of a waiting connection has been read, so there is nothing to
+    // log when it breaks.
+    socket.on("error", ignoreError);
+    socket.once("close", () => this.#connections.delete(socket));
   }
 }
 
-function ignoreBreak(): void {
-  // The close that follows takes the connection off the list.
+function ignoreError(): void {
+  // The "close" event that follows removes the connection.
 }
--- a/packages/boot/src/held_port_test.ts
+++ b/packages/boot/src/held_port_test.ts
@@ -6,7 +6,7 @@
 const LOOPBACK = { host: "127.0.0.1", port: 0 };
 const BODY = "x".repeat(300_000);
 
-function createEcho() {
+function createLengthServer() {
   return createServer((request, response) => {
     let length = 0;
     request.on("data", (bytes: Uint8Array) => length += bytes.length);
@@ -28,7 +28,7 @@
   });
 }
 
-test("a request sent before there is a server is answered by it", async (t) => {
+test("a request sent before the server starts is answered by the server", async (t) => {
   const held = await HeldPort.open(LOOPBACK);
   const caller = connect(held.port, LOOPBACK.host);
   const answer = readUntil(caller, "read 300000");
@@ -36,7 +36,7 @@
     `POST / HTTP/1.1\r\nHost: a\r\nContent-Length: ${BODY.length}\r\n\r\n${BODY}`,
   );
   await waitFor(() => held.waiting === 1);
-  const server = createEcho();
+  const server = createLengthServer();
   await held.adopt(server);
   t.match(await answer, /^HTTP\/1\.1 200/);
   t.equal(held.waiting, 0);
@@ -46,13 +46,13 @@
   await new Promise((resolve) => server.close(resolve));
 });
 
-test("a caller that leaves while it waits disturbs nobody", async (t) => {
+test("a caller that disconnects while it waits does not affect others", async (t) => {
   const held = await HeldPort.open(LOOPBACK);
   const caller = connect(held.port, LOOPBACK.host);
   caller.write("POST / HTTP/1.1\r\n");
   await waitFor(() => held.waiting === 1);
   caller.resetAndDestroy();
-  const server = createEcho();
+  const server = createLengthServer();
   await held.adopt(server);
   const later = await fetch(`http://127.0.0.1:${held.port}/`);
   t.equal(await later.text(), "read 0");
@@ -60,7 +60,7 @@
   await new Promise((resolve) => server.close(resolve));
 });
 
-test("nothing is read before there is a server", async (t) => {
+test("nothing is read before the server starts", async (t) => {
   const held = await HeldPort.open(LOOPBACK);
   const caller = connect(held.port, LOOPBACK.host);
   const closed = new Promise<boolean>((resolve) => {
@@ -70,16 +70,16 @@
   caller.write("POST / HTTP/1.1\r\nHost: a\r\n\r\n");
   await waitFor(() => held.waiting === 1);
   held.close();
-  // Bytes that nobody has read turn the close into a reset.
+  // Closing a socket with unread bytes resets the connection.
   t.equal(await closed, true);
 });
 
-test("a port in use is an error", async (t) => {
+test("opening a port in use is an error", async (t) => {
   const held = await HeldPort.open(LOOPBACK);
   await t.rejects(HeldPort.open({ ...LOOPBACK, port: held.port }), {
     code: "EADDRINUSE",
   });
-  const server = createEcho();
+  const server = createLengthServer();
   await held.adopt(server);
   await new Promise((resolve) => server.close(resolve));
 });
--- a/packages/boot/src/load_script.ts
+++ b/packages/boot/src/load_script.ts
@@ -1,4 +1,4 @@
-/** Loads a bundled script with the code that an earlier run has compiled. */
+/** Loads a bundled script with the code cache of an earlier run. */
 
 import { createHash } from "node:crypto";
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
@@ -7,18 +7,18 @@
 import process from "node:process";
 import { Script } from "node:vm";
 
-/** A script that was run, and what it exports. */
+/** A script that has run, and its exports. */
 export interface LoadedScript {
   readonly exports: unknown;
-  /** True if its code came from the cache. */
+  /** True if the compiled code came from the cache. */
   readonly isCached: boolean;
-  /** Writes the compiled code for later runs with the same options of Node. */
-  saveCode(): void;
+  /** Saves the compiled code for later runs with the same Node.js options. */
+  saveCodeCache(): void;
 }
 
 /**
- * Runs a CommonJS script. Compiling takes a good part of the start of a large
- * bundle; code from the cache beside the script needs none.
+ * Runs a CommonJS script. Compilation is a large part of the start time of a
+ * large bundle; the code cache beside the script avoids it.
  *
  * @example
  * ```ts
@@ -40,11 +40,11 @@
   return {
     exports: module.exports,
     isCached: cachedData !== undefined && script.cachedDataRejected === false,
-    saveCode: () => writeFileSync(cachePath, script.createCachedData()),
+    saveCodeCache: () => writeFileSync(cachePath, script.createCachedData()),
   };
 }
 
-/** Code is only taken by a Node that runs with the options it was made with. */
+/** Returns the path of the code cache. Node.js accepts a cache only with the options that created it. */
 function findCachePath(path: string): string {
   const options = process.execArgv.join(" ");
   const name = createHash("md5").update(options).digest("hex").slice(0, 12);
--- a/packages/boot/src/load_script_test.ts
+++ b/packages/boot/src/load_script_test.ts
@@ -11,14 +11,14 @@
   return { path, remove: () => rmSync(folder, { recursive: true }) };
 }
 
-test("a script runs the same with and without saved code", (t) => {
+test("a script runs the same with and without a code cache", (t) => {
   const script = createScript(
     "module.exports = { name: require('node:path').basename(__filename) };",
   );
   const first = loadScript(script.path);
   t.same(first.exports, { name: "script.js" });
   t.equal(first.isCached, false);
-  first.saveCode();
+  first.saveCodeCache();
   const second = loadScript(script.path);
   t.same(second.exports, { name: "script.js" });
   t.equal(second.isCached, true);
@@ -26,9 +26,9 @@
   t.end();
 });
 
-test("saved code of another script is not used", (t) => {
+test("the code cache of another script is not used", (t) => {
   const script = createScript("module.exports = 1;");
-  loadScript(script.path).saveCode();
+  loadScript(script.path).saveCodeCache();
   writeFileSync(script.path, "module.exports = 'another script';");
   const loaded = loadScript(script.path);
   t.equal(loaded.exports, "another script");
--- a/packages/boot/src/mod.ts
+++ b/packages/boot/src/mod.ts
@@ -1,4 +1,4 @@
-/** First steps of a daemon; they need next to no code, so they come at once. */
+/** Boot of a daemon, kept small so that the port for callers opens early. */
 
 export * from "./boot_daemon.ts";
 export * from "./find_callers_listen.ts";
--- a/packages/boot/src/run_bundle.ts
+++ b/packages/boot/src/run_bundle.ts
@@ -1,4 +1,4 @@
-/** Entry of the bundled daemon: opens the port, then loads the rest. */
+/** Entry point of the bundled daemon: opens the port for callers, then loads the daemon. */
 
 import { join } from "node:path";
 import { bootDaemon, type DaemonMain } from "./boot_daemon.ts";
--- a/packages/boot/src/save_code.ts
+++ b/packages/boot/src/save_code.ts
@@ -1,6 +1,6 @@
-/** Step of the build: saves the compiled code of the bundled daemon. */
+/** Build step: saves the code cache of the bundled daemon. */
 
 import { join } from "node:path";
 import { loadScript } from "./load_script.ts";
 
-loadScript(join(__dirname, "daemon.js")).saveCode();
+loadScript(join(__dirname, "daemon.js")).saveCodeCache();
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: the roles of its settings below one supervisor. */
+/** Runs the roles that the settings of a daemon name under one supervisor. */
 
 import {
   type Child,
@@ -8,7 +8,7 @@
   type Settings,
   Supervisor,
 } from "@mallowlift/core";
-import type { BootParts } from "@mallowlift/boot";
+import type { BootResult } from "@mallowlift/boot";
 import { EntryRole } from "@mallowlift/entry";
 import { GatewayRole } from "@mallowlift/gateway";
 import {
@@ -33,10 +33,12 @@
 
 const MAX_RESTARTS = 3;
 const RESTART_INTERVAL_MILLISECONDS = 60_000;
-const ANY_ADDRESS = "0.0.0.0:0";
-const LEAVING_MILLISECONDS = 50;
+/** Default of `advertise`: other daemons use the address that this daemon listens on. */
+const UNSPECIFIED_ADDRESS = "0.0.0.0:0";
+/** Time between the report of bad health and the stop of the roles, ms. */
+const STOP_DELAY_MILLISECONDS = 50;
 
-interface SiteParts {
+interface SiteMembership {
   readonly directory: Directory;
   readonly task: DirectoryTask;
 }
@@ -46,12 +48,12 @@
   createHandlers?(): HandlerTable;
 }
 
-/** A daemon. */
+/** Creates, starts and stops the roles and servers of one process. */
 @singleton()
 export class Daemon {
   readonly #supervisor: Supervisor;
   readonly #roles: RunningRole[] = [];
-  readonly #site: SiteParts | undefined;
+  readonly #site: SiteMembership | undefined;
   readonly #server: PeerServer;
   #address = "";
   #stopping = false;
@@ -64,10 +66,10 @@
     @inject(TOKENS.LINKS) private readonly links: PeerLinks,
     @inject(TOKENS.BOOT_ID) private readonly bootId: string,
     @inject(TOKENS.DIALECTS) private readonly dialects: Dialects,
-    @inject(TOKENS.LIVE_SETTINGS) private readonly live: LiveSettings,
-    @inject(TOKENS.BOOT) private readonly boot: BootParts,
+    @inject(TOKENS.LIVE_SETTINGS) private readonly liveSettings: LiveSettings,
+    @inject(TOKENS.BOOT) private readonly boot: BootResult,
   ) {
-    this.#site = this.#createSite();
+    this.#site = this.#createSiteMembership();
     this.#supervisor = new Supervisor("daemon", {
       logger,
       maxRestarts: MAX_RESTARTS,
@@ -79,7 +81,7 @@
     this.#server = this.#createServer();
   }
 
-  /** Rejects when the daemon cannot go on. */
+  /** Rejects when the daemon cannot continue. */
   get ended(): Promise<void> {
     return this.#supervisor.ended;
   }
@@ -89,7 +91,7 @@
     return this.#isStarted;
   }
 
-  /** Starts the health server, the port for other daemons, and the roles. */
+  /** Starts the health server, the server for other daemons, and the roles. */
   async start(): Promise<void> {
     const health = new HealthServer({
       listen: this.settings.daemon.healthListen,
@@ -101,7 +103,7 @@
     this.#supervisor.add(() => health);
     const { logger, metrics } = this;
     this.#supervisor.add(() => new StallWatch({ logger, metrics }));
-    this.#supervisor.add(() => this.#createPort());
+    this.#supervisor.add(() => this.#createServerChild());
     const { task } = this.#site ?? {};
     if (task !== undefined) this.#supervisor.add(() => task);
     for (const role of this.#roles) this.#supervisor.add(() => role);
@@ -113,11 +115,13 @@
     });
   }
 
-  /** Stops the roles in reverse order; open requests are finished first. */
+  /** Stops the roles in reverse order after their open requests have finished. */
   async stop(): Promise<void> {
     this.#stopping = true;
     this.logger.info("Stopping");
-    await new Promise((resolve) => setTimeout(resolve, LEAVING_MILLISECONDS));
+    await new Promise((resolve) =>
+      setTimeout(resolve, STOP_DELAY_MILLISECONDS)
+    );
     await this.#supervisor.stop();
     this.links.stop();
     this.logger.info("Stopped");
@@ -171,17 +175,17 @@
     });
   }
 
-  /** Gateways and stores find each other through a directory. */
-  #createSite(): SiteParts | undefined {
+  /** Creates the directory through which gateways and stores find each other. */
+  #createSiteMembership(): SiteMembership | undefined {
     const { daemon, network, store } = this.settings;
-    const needsSite = daemon.roles.includes(ROLES.GATEWAY) ||
+    const needsDirectory = daemon.roles.includes(ROLES.GATEWAY) ||
       daemon.roles.includes(ROLES.STORE);
-    if (!needsSite) return undefined;
+    if (!needsDirectory) return undefined;
     const { listen, advertise } = network;
     const directory = new Directory({
       name: daemon.name,
       bootId: this.bootId,
-      address: advertise === ANY_ADDRESS ? listen : advertise,
+      address: advertise === UNSPECIFIED_ADDRESS ? listen : advertise,
       roles: daemon.roles,
       failureDomain: daemon.failureDomain,
     });
@@ -191,7 +195,7 @@
       directory,
       grants: new FounderGrants(directory, isFirstStart),
       links: this.links,
-      listSeeds: () => this.live.seeds,
+      listSeeds: () => this.liveSettings.seeds,
       intervalMilliseconds: network.directoryMilliseconds,
       random: Math.random,
     });
@@ -215,13 +219,13 @@
     });
   }
 
-  #createPort(): Child {
+  #createServerChild(): Child {
     return {
       name: "port",
       start: async () => {
         const bound = await this.#server.start();
         const { advertise } = this.settings.network;
-        this.#address = advertise === ANY_ADDRESS ? bound : advertise;
+        this.#address = advertise === UNSPECIFIED_ADDRESS ? bound : advertise;
       },
       stop: () => this.#server.stop(),
     };
--- a/packages/daemon/src/dialects.ts
+++ b/packages/daemon/src/dialects.ts
@@ -1,4 +1,4 @@
-/** The words in which a daemon speaks to everyone outside the site. */
+/** Protocols that a daemon uses with clients and systems outside the site. */
 
 import {
   type CallerDialect,
@@ -11,16 +11,16 @@
   type InstanceSourceFactory,
 } from "@mallowlift/store";
 
-/** One dialect for each kind of outsider. */
+/** A dialect for each kind of external client or system. */
 export interface Dialects {
   readonly caller: CallerDialect;
   readonly operator: OperatorDialect;
   readonly createInstanceSource: InstanceSourceFactory;
-  /** Path at which a balancer asks whether the daemon is ready. */
+  /** Path at which load balancers check readiness. */
   readonly readinessPath: string;
 }
 
-/** The product's own dialects. */
+/** The native dialects of mallowlift. */
 export const NATIVE_DIALECTS: Dialects = {
   caller: new NativeCallerDialect(),
   operator: new NativeOperatorDialect(),
--- a/packages/daemon/src/health_server.ts
+++ b/packages/daemon/src/health_server.ts
@@ -1,4 +1,4 @@
-/** Health and metrics of one daemon over HTTP. */
+/** Serves the health and metrics of one daemon over HTTP. */
 
 import { type ResponseToolkit, Server } from "@hapi/hapi";
 import type { Child, Metrics } from "@mallowlift/core";
@@ -13,15 +13,15 @@
   readonly healthy: boolean;
 }
 
-/** What the server shows. */
+/** Options of the health server. */
 export interface HealthServerOptions {
   readonly listen: string;
-  /** Address at which metrics are served besides; none if its port is 0. */
+  /** Additional address that serves only metrics; disabled if its port is 0. */
   readonly metricsListen: string;
-  /** Path at which a balancer asks. */
+  /** Path at which load balancers check readiness. */
   readonly readinessPath: string;
   readonly metrics: Metrics;
-  /** Health of each role now. */
+  /** Returns the present health of each role. */
   listHealth(): readonly RoleHealth[];
 }
 
@@ -40,26 +40,26 @@
         describeHealth(options.listHealth(), toolkit),
     });
     const servers = [server];
-    const besides = parseAddress(options.metricsListen);
-    if (besides.port !== 0) {
-      servers.push(new Server({ ...besides, compression: false }));
+    const metricsAddress = parseAddress(options.metricsListen);
+    if (metricsAddress.port !== 0) {
+      servers.push(new Server({ ...metricsAddress, compression: false }));
     }
-    for (const each of servers) addMetrics(each, options.metrics);
+    for (const each of servers) addMetricsRoute(each, options.metrics);
     this.#servers = servers;
   }
 
-  /** Starts to serve. */
+  /** Starts all servers; throws if a port cannot be opened. */
   async start(): Promise<void> {
     for (const server of this.#servers) await server.start();
   }
 
-  /** Stops at once; health is not worth waiting for. */
+  /** Stops all servers at once: an open health check is not worth a delay. */
   async stop(): Promise<void> {
     for (const server of this.#servers) await server.stop({ timeout: 0 });
   }
 }
 
-function addMetrics(server: Server, metrics: Metrics): void {
+function addMetricsRoute(server: Server, metrics: Metrics): void {
   server.route({
     method: "GET",
     path: "/metrics",
--- a/packages/daemon/src/live_settings.ts
+++ b/packages/daemon/src/live_settings.ts
@@ -1,4 +1,4 @@
-/** Settings that may change while the daemon runs. */
+/** Reloads the settings that may change while the daemon runs. */
 
 import { readFileSync } from "node:fs";
 import {
@@ -8,10 +8,10 @@
   type Settings,
 } from "@mallowlift/core";
 
-/** Time between two looks at the file, ms: it may change without a signal. */
-const LOOK_MILLISECONDS = 1_000;
+/** Time between two checks of the file, ms: it may change without a signal. */
+const RELOAD_INTERVAL_MILLISECONDS = 1_000;
 
-/** Reads the settings file again when it has changed; only the seeds follow. */
+/** Reloads the settings file when it has changed; only the seeds are updated. */
 export class LiveSettings {
   readonly #path: string;
   readonly #logger: Logger;
@@ -26,18 +26,21 @@
     this.#seeds = findSeeds(settings);
   }
 
-  /** Addresses of the seeds for other daemons. */
+  /** Addresses of the seeds through which other daemons are found. */
   get seeds(): readonly string[] {
     return this.#seeds;
   }
 
-  /** Starts to look for changes. */
+  /** Starts checking the file for changes. */
   watch(): void {
-    this.#timer = setInterval(() => this.reload(), LOOK_MILLISECONDS);
+    this.#timer = setInterval(
+      () => this.reload(),
+      RELOAD_INTERVAL_MILLISECONDS,
+    );
     this.#timer.unref();
   }
 
-  /** Reads the file now; a file with mistakes changes nothing. */
+  /** Reads the file now; an invalid file is logged and changes nothing. */
   reload(): void {
     const text = this.#read();
     if (text === this.#text || text === "") return;
@@ -66,7 +69,7 @@
   }
 }
 
-/** The seeds, with the port of the settings if there is one. */
+/** Returns the seeds; a seed port in the settings replaces the port of each. */
 function findSeeds(settings: Settings): readonly string[] {
   const { seeds, seedPort } = settings.network;
   if (seedPort === 0) return seeds;
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,4 +1,4 @@
-/** Entry point of the daemon. */
+/** Entry point of the daemon: reads the command line, loads the settings and runs the daemon. */
 
 import "reflect-metadata";
 import { randomUUID } from "node:crypto";
@@ -13,7 +13,7 @@
   type Settings,
   sleep,
 } from "@mallowlift/core";
-import type { BootParts } from "@mallowlift/boot";
+import type { BootResult } from "@mallowlift/boot";
 import { PeerLinks } from "@mallowlift/transport";
 import { Command } from "commander";
 import { container } from "tsyringe";
@@ -25,52 +25,57 @@
 /** Exit codes of the daemon. */
 export const EXIT_CODES = { OK: 0, FAILED: 1, SETTINGS: 2 } as const;
 
-/** Longest wait for the last lines to be written, ms: a full pipe must not hold the end. */
-const LAST_LOGS_MILLISECONDS = 200;
+/** Longest wait for the last log lines to be written, ms: a full pipe must not delay the exit. */
+const LOG_FLUSH_TIMEOUT_MILLISECONDS = 200;
 
-/** Longest rest of a start after the order to end, ms: far above a usual start. */
-const START_MILLISECONDS = 2_000;
+/** Longest time that a start may continue after a stop request, ms: much longer than a usual start. */
+const START_GRACE_MILLISECONDS = 2_000;
 
-interface MainOptions {
+interface CommandLineOptions {
   readonly settings: string;
   readonly check?: boolean;
 }
 
 /**
- * Reads the command line and runs the daemon until it is told to stop.
+ * Reads the command line and runs the daemon until a stop is requested.
  *
  * @example
  * ```ts
- * bootDaemon(() => runMain); // speaks the product's own dialects
+ * bootDaemon(() => runMain); // uses the native dialects
  * ```
  */
 export function runMain(
-  boot: BootParts,
+  boot: BootResult,
   dialects: Dialects = NATIVE_DIALECTS,
 ): void {
   const program = new Command("mallowlift")
-    .description("Daemon of mallowlift; its settings file gives it its roles")
+    .description(
+      "Runs a mallowlift daemon with the roles that its settings file names",
+    )
     .requiredOption("-s, --settings <file>", "settings file (INI)")
     .option("--check", "check the settings file and exit")
     .addHelpText(
       "after",
       "\nExample:\n  mallowlift --settings /etc/mallowlift/entry.ini",
     );
-  program.action((options: MainOptions) =>
+  program.action((options: CommandLineOptions) =>
     startDaemon(options, { dialects, boot })
   );
   program.parse();
 }
 
-interface MainParts {
+interface DaemonOptions {
   readonly dialects: Dialects;
-  readonly boot: BootParts;
+  readonly boot: BootResult;
 }
 
-function startDaemon(options: MainOptions, parts: MainParts): void {
+function startDaemon(
+  options: CommandLineOptions,
+  daemonOptions: DaemonOptions,
+): void {
   const settings = loadSettings(options.settings);
   if (settings.err) {
-    parts.boot.heldPort?.close();
+    daemonOptions.boot.heldPort?.close();
     for (const mistake of settings.val) {
       process.stderr.write(`${describeMistake(mistake)}\n`);
     }
@@ -83,47 +88,47 @@
   }
   void superviseDaemon(settings.val, {
     path: options.settings,
-    ...parts,
+    ...daemonOptions,
   });
 }
 
 async function superviseDaemon(
   settings: Settings,
-  parts: MainParts & { readonly path: string },
+  options: DaemonOptions & { readonly path: string },
 ): Promise<void> {
   const { name, logLevel } = settings.daemon;
   const logs = new LogQueue();
   const logger = createLogger(name, logLevel, logs);
-  const end = async (code: number) => {
-    await logs.close(LAST_LOGS_MILLISECONDS);
+  const exit = async (code: number) => {
+    await logs.close(LOG_FLUSH_TIMEOUT_MILLISECONDS);
     process.exit(code);
   };
-  const live = new LiveSettings(parts.path, settings, logger);
-  container.registerInstance(TOKENS.LIVE_SETTINGS, live);
-  container.registerInstance(TOKENS.DIALECTS, parts.dialects);
-  container.registerInstance(TOKENS.BOOT, parts.boot);
-  registerParts(settings, logger);
+  const liveSettings = new LiveSettings(options.path, settings, logger);
+  container.registerInstance(TOKENS.LIVE_SETTINGS, liveSettings);
+  container.registerInstance(TOKENS.DIALECTS, options.dialects);
+  container.registerInstance(TOKENS.BOOT, options.boot);
+  registerDependencies(settings, logger);
   const daemon = container.resolve(Daemon);
-  void parts.boot.stopAsked.then(async () => {
-    // A start that waits for its disk would outlive the order to end.
-    await sleep(START_MILLISECONDS);
-    if (!daemon.isStarted) await end(EXIT_CODES.OK);
+  void options.boot.stopRequested.then(async () => {
+    // A start that waits for a slow disk must not delay the exit any longer.
+    await sleep(START_GRACE_MILLISECONDS);
+    if (!daemon.isStarted) await exit(EXIT_CODES.OK);
   });
   try {
     await daemon.start();
   } catch (thrown) {
-    return await end(describeFailure(logger, thrown));
+    return await exit(reportFailure(logger, thrown));
   }
-  live.watch();
-  process.on("SIGHUP", () => live.reload());
-  void parts.boot.stopAsked.then(async () => {
+  liveSettings.watch();
+  process.on("SIGHUP", () => liveSettings.reload());
+  void options.boot.stopRequested.then(async () => {
     await daemon.stop();
-    await end(EXIT_CODES.OK);
+    await exit(EXIT_CODES.OK);
   });
-  daemon.ended.catch((thrown) => end(describeFailure(logger, thrown)));
+  daemon.ended.catch((thrown) => exit(reportFailure(logger, thrown)));
 }
 
-function registerParts(settings: Settings, logger: Logger): void {
+function registerDependencies(settings: Settings, logger: Logger): void {
   const { network, daemon } = settings;
   container.registerInstance(TOKENS.SETTINGS, settings);
   container.registerInstance(TOKENS.LOGGER, logger);
@@ -142,8 +147,8 @@
   );
 }
 
-/** Says why the daemon ends, and returns its exit code. */
-function describeFailure(logger: Logger, thrown: unknown): number {
+/** Reports why the daemon ends, and returns its exit code. */
+function reportFailure(logger: Logger, thrown: unknown): number {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   logger.error("Ended by a fault", { message });
   process.stderr.write(`mallowlift: ${message}\n`);
--- a/packages/daemon/src/stall_watch.ts
+++ b/packages/daemon/src/stall_watch.ts
@@ -1,22 +1,22 @@
-/** Notes when the process did not run for a while, as in a frozen instance. */
+/** Detects that the process did not run for a while, for example on a frozen instance. */
 
 import { performance } from "node:perf_hooks";
 import type { Child, Logger, Metrics } from "@mallowlift/core";
 
-/** Time between two looks, ms: one wake-up a second costs next to nothing. */
-const LOOK_MILLISECONDS = 1_000;
-/** How much later than due a look tells of a stall, ms: far above a busy turn of the event loop. */
+/** Time between two checks, ms: one wake-up per second costs almost nothing. */
+const CHECK_INTERVAL_MILLISECONDS = 1_000;
+/** Delay of a check that counts as a stall, ms: much longer than a busy iteration of the event loop. */
 const STALL_MILLISECONDS = 1_000;
 
-/** What the watch works with. */
+/** Options of the stall watch. */
 export interface StallWatchOptions {
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
 /**
- * Writes a line when the process stood still. A frozen process writes nothing
- * meanwhile, and whoever reads its logs would take the gap for idleness.
+ * Logs and counts the time during which the process stood still. A frozen
+ * process logs nothing, and the gap in its logs would look like idleness.
  *
  * @example
  * ```ts
@@ -27,37 +27,42 @@
 export class StallWatch implements Child {
   readonly name = "stall watch";
   readonly #options: StallWatchOptions;
-  #lookedAt = 0;
+  #checkedAt = 0;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: StallWatchOptions) {
     this.#options = options;
   }
 
-  /** Starts to look. */
+  /** Starts the periodic checks. */
   start(): Promise<void> {
-    this.#lookedAt = performance.now();
+    this.#checkedAt = performance.now();
     this.#timer = setInterval(
-      () => this.look(performance.now()),
-      LOOK_MILLISECONDS,
+      () => this.check(performance.now()),
+      CHECK_INTERVAL_MILLISECONDS,
     ).unref();
     return Promise.resolve();
   }
 
-  /** Ends the looks. */
+  /** Stops the periodic checks. */
   stop(): Promise<void> {
     clearInterval(this.#timer);
     return Promise.resolve();
   }
 
-  /** Tells of a stall if the last look is much longer ago than it should be. */
-  look(now: number): void {
-    const late = now - this.#lookedAt - LOOK_MILLISECONDS;
-    this.#lookedAt = now;
-    if (late < STALL_MILLISECONDS) return;
-    this.#options.metrics.stoodStillSeconds.inc(late / 1_000);
+  /**
+   * Reports a stall if the check comes much later than scheduled.
+   *
+   * @param now present time, monotonic, ms
+   */
+  check(now: number): void {
+    const delayMilliseconds = now - this.#checkedAt -
+      CHECK_INTERVAL_MILLISECONDS;
+    this.#checkedAt = now;
+    if (delayMilliseconds < STALL_MILLISECONDS) return;
+    this.#options.metrics.stoodStillSeconds.inc(delayMilliseconds / 1_000);
     this.#options.logger.warn("Stood still", {
-      milliseconds: Math.round(late),
+      milliseconds: Math.round(delayMilliseconds),
     });
   }
 }
--- a/packages/daemon/src/stall_watch_test.ts
+++ b/packages/daemon/src/stall_watch_test.ts
@@ -3,21 +3,21 @@
 import { test } from "tap";
 import { StallWatch } from "./stall_watch.ts";
 
-test("a look that comes much too late tells how long the process stood still", async (t) => {
-  const told: unknown[] = [];
+test("a check that comes much too late reports how long the process stood still", async (t) => {
+  const warnings: unknown[] = [];
   const logger: Logger = {
     ...SILENT_LOGGER,
-    warn: (sentence, facts) => told.push([sentence, facts]),
+    warn: (message, fields) => warnings.push([message, fields]),
   };
   const metrics = createMetrics();
   const watch = new StallWatch({ logger, metrics });
   const startedAt = performance.now();
   await watch.start();
   t.teardown(() => watch.stop());
-  watch.look(startedAt + 1_200);
-  t.same(told, [], "a busy process is not a frozen one");
-  watch.look(startedAt + 1_200 + 1_000 + 6_000);
-  t.same(told, [["Stood still", { milliseconds: 6_000 }]]);
+  watch.check(startedAt + 1_200);
+  t.same(warnings, [], "a busy process is not reported as frozen");
+  watch.check(startedAt + 1_200 + 1_000 + 6_000);
+  t.same(warnings, [["Stood still", { milliseconds: 6_000 }]]);
   const counted = await metrics.stoodStillSeconds.get();
   t.equal(Math.round(counted.values[0]?.value ?? 0), 6);
 });
--- a/packages/daemon/src/tokens.ts
+++ b/packages/daemon/src/tokens.ts
@@ -1,6 +1,6 @@
-/** Names under which the parts of a daemon are registered for injection. */
+/** Injection tokens under which the components of a daemon are registered. */
 
-/** Injection tokens. */
+/** Tokens of the dependency injection container. */
 export const TOKENS = {
   SETTINGS: "settings",
   LOGGER: "logger",
