--- a/packages/boot/src/boot_daemon.ts
+++ b/packages/boot/src/boot_daemon.ts
@@ -5,7 +5,7 @@
   findCallersAddress,
   findSettingsPath,
   readSettingsText,
-} from "./find_callers_listen.ts";
+} from "./callers_address.ts";
 import { HeldPort } from "./held_port.ts";
 
 /** Results of the boot that the daemon uses. */
--- a/packages/boot/src/find_callers_listen_test.ts
+++ b/packages/boot/src/callers_address_test.ts
@@ -1,5 +1,5 @@
 import { test } from "tap";
-import { findCallersAddress, findSettingsPath } from "./find_callers_listen.ts";
+import { findCallersAddress, findSettingsPath } from "./callers_address.ts";
 
 test("the path of the settings file is found on a command line", (t) => {
   t.equal(findSettingsPath(["--settings", "a.ini"]), "a.ini");
