--- a/packages/cli/src/cli_app.ts
+++ b/packages/cli/src/cli_app.ts
@@ -1,4 +1,4 @@
-/** The commands of mallowctl, in one place. */
+/** Defines the commands and options of mallowctl. */
 
 import process from "node:process";
 import { Command, Option } from "commander";
@@ -49,15 +49,17 @@
   mallowctl check-settings /etc/mallowlift/entry.ini
 
 Exit codes:
-  0 done   1 refused   2 wrong command line or settings
-  3 version conflict   4 no such resource   5 no entry answered`;
+  0 success            1 refused or failed   2 invalid command line or settings
+  3 version conflict   4 resource not found  5 entry unreachable`;
 
-/** Makes the command line; nothing runs before it is parsed. */
+/** Creates the command line; no command runs before it is parsed. */
 export function createCommandLine(output: CommandOutput): Command {
   const program = new Command("mallowctl")
     .description("Operator tool of mallowlift")
     .addOption(
-      new Option("--entry <url>", "address of an entry").env("MALLOWCTL_ENTRY")
+      new Option("--entry <url>", "URL of an entry or a gateway").env(
+        "MALLOWCTL_ENTRY",
+      )
         .default(DEFAULT_ENTRY),
     )
     .addOption(
@@ -65,7 +67,7 @@
         .default(""),
     )
     .addOption(
-      new Option("-o, --output <form>", "form of the output").choices([
+      new Option("-o, --output <form>", "output format").choices([
         "table",
         "json",
       ])
@@ -95,26 +97,32 @@
   program.command("list <kind>").description("show all resources of a kind")
     .action((kind: string) => listResources(createContext(), kind));
   program.command("apply <kind> <name>").description(
-    "create or change a resource",
+    "create or update a resource",
   )
     .option("-f, --file <file>", "JSON file with the spec")
     .option("-s, --spec <json>", "the spec as JSON")
     .option(
       "--version <number>",
-      "version that must be in force; 0 for a new resource",
+      "expected current version; 0 for a new resource",
+    )
+    .option(
+      "--order <id>",
+      "order id, the idempotency key; repeating it has no further effect",
     )
-    .option("--order <id>", "order id; the same id again has no second effect")
     .action((kind: string, name: string, options: object) =>
       applyResource(createContext(), { kind, name }, options)
     );
   program.command("delete <kind> <name>").description("delete a resource")
-    .option("--version <number>", "version that must be in force")
-    .option("--order <id>", "order id; the same id again has no second effect")
+    .option("--version <number>", "expected current version")
+    .option(
+      "--order <id>",
+      "order id, the idempotency key; repeating it has no further effect",
+    )
     .action((kind: string, name: string, options: object) =>
       deleteResource(createContext(), { kind, name }, options)
     );
-  program.command("drain <upstream>").description("make an upstream leave")
-    .option("--undo", "take the upstream back")
+  program.command("drain <upstream>").description("drain an upstream")
+    .option("--undo", "put the upstream back into service")
     .action((upstream: string, options: object) =>
       drainUpstream(createContext(), upstream, options)
     );
@@ -128,29 +136,29 @@
     "show members, leaders, lag, queues and refusals",
   )
     .action(() => showStatus(createContext()));
-  program.command("watch").description("print changes as they come")
+  program.command("watch").description("print changes as they arrive")
     .option(
       "--from <revision>",
-      "changes after this revision",
+      "print only changes after this revision",
       readNumber({ least: 0, most: Number.MAX_SAFE_INTEGER }),
       0,
     )
     .option(
       "--count <number>",
-      "end after so many changes",
+      "exit after this many changes",
       readNumber({ least: 1, most: Number.MAX_SAFE_INTEGER }),
     )
     .action((options: { from: number; count?: number }) =>
       watchChanges(createContext(), options)
     );
   program.command("explain <request> [files...]").description(
-    "tell the story of a request from log files, or from standard input",
+    "explain the outcome of a request from log files, or from standard input",
   )
     .action((request: string, files: readonly string[]) =>
       explainRequest(createContext(), request, files)
     );
   program.command("check-settings <file>").description(
-    "check a settings file, whole",
+    "check a settings file and list every mistake",
   )
     .action((file: string) => checkSettings(createContext(), file));
 }
@@ -160,33 +168,35 @@
   createContext: () => CommandContext,
 ): void {
   const routing = program.command("routing").description(
-    "the routing document of a site of gateways",
+    "show or replace the routing document of the gateways",
   );
-  routing.command("show").description("show the document in force")
+  routing.command("show").description("show the current document")
     .action(() => showRouting(createContext()));
   routing.command("replace <file>").description(
-    "put a whole document in force; the highest version wins",
+    "replace the whole document; the highest version wins",
   )
     .action((file: string) => replaceRouting(createContext(), file));
   const workspaces = program.command("workspaces").description(
-    "the workspaces of the routing document, without their keys",
+    "show the workspaces of the routing document, without their keys",
   );
-  workspaces.command("list").description("list all of them")
+  workspaces.command("list").description("list all workspaces")
     .action(() => listWorkspaces(createContext()));
-  workspaces.command("describe <name>").description("show one of them")
+  workspaces.command("describe <name>").description("show one workspace")
     .action((name: string) => describeWorkspace(createContext(), name));
   const store = program.command("store").description(
-    "the stores behind the gateways",
+    "retire stores of the gateways",
   );
-  store.command("retire <name>").description("empty a store for good")
+  store.command("retire <name>").description(
+    "empty a store so that it can be removed",
+  )
     .action((name: string) => retireStore(createContext(), name));
   store.command("retirement <name>").description(
-    "show whether a retired store may be taken away",
+    "show whether a retired store may be removed",
   )
     .action((name: string) => showRetirement(createContext(), name));
 }
 
-/** Output of a real process. */
+/** Writes to the streams of this process and sets its exit code. */
 export const PROCESS_OUTPUT: CommandOutput = {
   print: (line) => void process.stdout.write(`${line}\n`),
   printError: (line) => void process.stderr.write(`${line}\n`),
--- a/packages/cli/src/client/operator_client.ts
+++ b/packages/cli/src/client/operator_client.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface, as mallowctl uses it. */
+/** Client for the operators' HTTP interface of an entry or a gateway. */
 
 import type { IncomingMessage } from "node:http";
 import Wreck from "@hapi/wreck";
@@ -12,24 +12,24 @@
 
 const TIMEOUT_MILLISECONDS = 15_000;
 
-/** Where and as whom to ask. */
+/** URL of an entry or a gateway, and the operator token to send. */
 export interface OperatorAccess {
   readonly entry: string;
   readonly token: string;
 }
 
-/** A request of an operator. */
+/** An HTTP request from an operator. */
 export interface OperatorRequest {
   readonly method: "GET" | "PUT" | "POST" | "DELETE";
   readonly path: string;
   readonly body?: object;
 }
 
-interface RefusalBody {
+interface ErrorBody {
   readonly error?: { readonly name?: string; readonly message?: string };
 }
 
-/** Asks one entry. */
+/** Sends requests to one entry or gateway. */
 export class OperatorClient {
   readonly #access: OperatorAccess;
 
@@ -37,21 +37,24 @@
     this.#access = access;
   }
 
-  /** Sends a request; a refusal keeps its result code. */
+  /**
+   * Sends a request and reads the JSON response. An error response becomes an
+   * error with the result code that it names.
+   */
   async send<T>(request: OperatorRequest): Promise<Outcome<T>> {
-    const opened = await this.open(request);
-    if (opened.err) return opened;
+    const response = await this.open(request);
+    if (response.err) return response;
     const text = String(
-      await Wreck.read(opened.val, { timeout: TIMEOUT_MILLISECONDS }),
+      await Wreck.read(response.val, { timeout: TIMEOUT_MILLISECONDS }),
     );
-    return readBody<T>(opened.val.statusCode ?? 0, text);
+    return readBody<T>(response.val.statusCode ?? 0, text);
   }
 
-  /** Sends a request and returns the answer unread, for streams. */
+  /** Sends a request and returns the response before its body is read, for streams. */
   async open(request: OperatorRequest): Promise<Outcome<IncomingMessage>> {
     const { entry, token } = this.#access;
     try {
-      const answer = await Wreck.request(
+      const response = await Wreck.request(
         request.method,
         `${entry}${request.path}`,
         {
@@ -67,18 +70,21 @@
             : JSON.stringify(request.body),
         },
       );
-      return Ok(answer);
+      return Ok(response);
     } catch (thrown) {
       const message = thrown instanceof Error ? thrown.message : String(thrown);
       return fail(
         RESULT_CODES.NOT_CONNECTED,
-        `No answer from ${entry}: ${message}`,
+        `No response from ${entry}: ${message}`,
       );
     }
   }
 }
 
-/** Reads an answer; anything but a success becomes a coded error. */
+/**
+ * Parses the body of a response. A status other than 2xx, or a body that is not
+ * JSON, becomes an error with a result code.
+ */
 export function readBody<T>(status: number, text: string): Outcome<T> {
   let body: unknown;
   try {
@@ -86,11 +92,11 @@
   } catch {
     return fail(
       RESULT_CODES.INTERNAL,
-      `The entry answered with status ${status} and no JSON`,
+      `The entry responded with status ${status} and a body that is not JSON`,
     );
   }
   if (status >= 200 && status < 300) return Ok(body as T);
-  const { error } = body as RefusalBody;
-  const message = error?.message ?? `The entry answered with status ${status}`;
+  const { error } = body as ErrorBody;
+  const message = error?.message ?? `The entry responded with status ${status}`;
   return fail(findResultCode(error?.name ?? ""), message);
 }
--- a/packages/cli/src/command_context.ts
+++ b/packages/cli/src/command_context.ts
@@ -1,25 +1,25 @@
-/** What every command of mallowctl works with. */
+/** Options, client and output that all commands of mallowctl share. */
 
 import type { CodedError, Outcome } from "@mallowlift/core";
 import { RESULT_CODES } from "@mallowlift/core";
 import { OperatorClient } from "./client/operator_client.ts";
 import { EXIT_CODES, type ExitCode, findExitCode } from "./exit_codes.ts";
 
-/** Options that stand before every command. */
+/** Options that precede the command. */
 export interface GlobalOptions {
   readonly entry: string;
   readonly token: string;
   readonly output: "table" | "json";
 }
 
-/** Where a command writes, and how it ends. */
+/** Receives a command's output and its exit code. */
 export interface CommandOutput {
   print(line: string): void;
   printError(line: string): void;
   exit(code: ExitCode): void;
 }
 
-/** Context of one command. */
+/** Gives one command its client, and prints its result or its error. */
 export class CommandContext {
   readonly client: OperatorClient;
   readonly #options: GlobalOptions;
@@ -31,11 +31,11 @@
     this.client = new OperatorClient(options);
   }
 
-  /** Prints a value as JSON, or as the text for people. */
-  show(value: unknown, describe: () => string): void {
+  /** Prints a value in the output format of the options: as JSON or as text. */
+  show(value: unknown, format: () => string): void {
     const isJson = this.#options.output === "json";
     this.#output.print(
-      isJson ? JSON.stringify(value, undefined, 2) : describe(),
+      isJson ? JSON.stringify(value, undefined, 2) : format(),
     );
   }
 
@@ -44,15 +44,15 @@
     this.#output.print(line);
   }
 
-  /** Shows a result, or ends with the exit code of its error. */
-  finish<T>(outcome: Outcome<T>, describe: (value: T) => string): void {
-    if (outcome.err) return this.failWith(outcome.val);
+  /** Prints the value of an outcome, or its error and sets the exit code. */
+  finish<T>(outcome: Outcome<T>, format: (value: T) => string): void {
+    if (outcome.err) return this.failWithError(outcome.val);
     const value = outcome.val;
-    this.show(value, () => describe(value));
+    this.show(value, () => format(value));
   }
 
-  /** Ends with the exit code of an error. */
-  failWith(error: CodedError): void {
+  /** Prints an error and sets its exit code. */
+  failWithError(error: CodedError): void {
     const { code, message } = error;
     this.#output.printError(
       `mallowctl: ${message} (${code.number} ${code.name})`,
@@ -63,8 +63,8 @@
     );
   }
 
-  /** Ends because the command line is wrong. */
-  failUsage(message: string): void {
+  /** Prints a message about invalid arguments or files, and sets the exit code. */
+  failWithUsageError(message: string): void {
     this.#output.printError(`mallowctl: ${message}`);
     this.#output.exit(EXIT_CODES.USAGE);
   }
--- a/packages/cli/src/commands/explain_command.ts
+++ b/packages/cli/src/commands/explain_command.ts
@@ -1,4 +1,7 @@
-/** explain: the story of one request, from the logs of any number of processes. */
+/**
+ * The explain command, which explains the outcome of a request from the logs of
+ * any number of processes.
+ */
 
 import { readFileSync } from "node:fs";
 import { findResultCode, RESULT_CODES } from "@mallowlift/core";
@@ -6,42 +9,45 @@
 
 /** File descriptor of standard input. */
 const STANDARD_INPUT = 0;
-/** How long before a request the state of its process is still told, ms. */
-const BEFORE_MILLISECONDS = 10_000;
+/** State changes from this long before the first line of a request are included, ms. */
+const LOOKBACK_MILLISECONDS = 10_000;
 
-/** Messages that change what a process believes, rather than tell of a request. */
-const BELIEFS =
+/** Messages that report a change of a process's state instead of an event of a request. */
+const STATE_CHANGE_MESSAGE =
   /: (Leader found|Leader lost|Leading|Leadership ended|Entries wait|Document in force|Instance list (in force|lost|regained|changed)|Ready|Not ready|Stood still|Started|Stopping|Settings reloaded|Members changed)/;
 
-/** One line of a log, as far as the story needs it. */
+/** One parsed line of a log; other fields depend on the message. */
 export interface LogLine {
-  /** Daemon that wrote the line. */
+  /** Name of the daemon that wrote the line. */
   readonly name: string;
   readonly time: string;
   readonly msg: string;
-  readonly [fact: string]: unknown;
+  readonly [field: string]: unknown;
 }
 
-/** The story of a request. */
-export interface RequestStory {
+/**
+ * The log lines of a request, the state changes of its processes around it,
+ * and a sentence that explains its outcome.
+ */
+export interface RequestExplanation {
   readonly call: string;
   readonly lines: readonly LogLine[];
   readonly verdict: string;
 }
 
-/** Reads lines of logs; what is no log line is passed over. */
+/** Parses log lines; text that is not a log line is skipped. */
 export function readLogLines(text: string): readonly LogLine[] {
   const lines: LogLine[] = [];
   for (const row of text.split("\n")) {
-    const start = row.indexOf("{");
-    if (start === -1) continue;
+    const jsonStart = row.indexOf("{");
+    if (jsonStart === -1) continue;
     try {
-      const line = JSON.parse(row.slice(start)) as Partial<LogLine>;
+      const line = JSON.parse(row.slice(jsonStart)) as Partial<LogLine>;
       if (typeof line.msg === "string" && typeof line.time === "string") {
         lines.push(line as LogLine);
       }
     } catch {
-      // A line that was cut when its process was killed tells nothing.
+      // A line is incomplete if its process was killed while writing it.
       continue;
     }
   }
@@ -49,84 +55,102 @@
 }
 
 /**
- * Puts the story of a request together: its own lines, and what its process
- * had come to believe shortly before.
+ * Collects the log lines of a request and the state changes of the processes
+ * that logged them, from shortly before its first line up to its last line.
  *
- * @returns undefined if no line names the request
+ * @returns undefined if no line belongs to the request
  */
-export function explainCall(
+export function createExplanation(
   lines: readonly LogLine[],
   call: string,
-): RequestStory | undefined {
-  const own = lines.filter((line) => line["call"] === call);
-  if (own.length === 0) return undefined;
-  const names = new Set(own.map((line) => line.name));
-  const times = own.map((line) => Date.parse(line.time));
-  const first = Math.min(...times) - BEFORE_MILLISECONDS;
-  const last = Math.max(...times);
-  const beliefs = lines.filter((line) => {
+): RequestExplanation | undefined {
+  const callLines = lines.filter((line) => line["call"] === call);
+  if (callLines.length === 0) return undefined;
+  const daemonNames = new Set(callLines.map((line) => line.name));
+  const times = callLines.map((line) => Date.parse(line.time));
+  const windowStart = Math.min(...times) - LOOKBACK_MILLISECONDS;
+  const windowEnd = Math.max(...times);
+  const stateChanges = lines.filter((line) => {
     const time = Date.parse(line.time);
-    return names.has(line.name) && BELIEFS.test(line.msg) && time >= first &&
-      time <= last;
+    return daemonNames.has(line.name) && STATE_CHANGE_MESSAGE.test(line.msg) &&
+      time >= windowStart &&
+      time <= windowEnd;
   });
-  const story = [...beliefs, ...own].sort((left, right) =>
+  const sortedLines = [...stateChanges, ...callLines].sort((left, right) =>
     Date.parse(left.time) - Date.parse(right.time)
   );
-  return { call, lines: story, verdict: judge(own, beliefs) };
+  return {
+    call,
+    lines: sortedLines,
+    verdict: formatVerdict(callLines, stateChanges),
+  };
 }
 
-/** Says in a sentence what became of a request, and why. */
-function judge(own: readonly LogLine[], beliefs: readonly LogLine[]): string {
-  const end = own.findLast((line) =>
+/** Explains the outcome of a request in one sentence. */
+function formatVerdict(
+  callLines: readonly LogLine[],
+  stateChanges: readonly LogLine[],
+): string {
+  const endLine = callLines.findLast((line) =>
     line.msg.endsWith("Call ended") || line.msg.endsWith("Request refused")
   );
-  if (end === undefined) {
+  if (endLine === undefined) {
     return "No end was logged: the process ended first, or its lines were dropped";
   }
-  const stall = beliefs.findLast((line) => line.msg.endsWith("Stood still"));
-  const code = findResultCode(String(end["code"]));
+  const stallLine = stateChanges.findLast((line) =>
+    line.msg.endsWith("Stood still")
+  );
+  const code = findResultCode(String(endLine["code"]));
   if (code === RESULT_CODES.OK) {
-    return `Answered with status ${end["status"]} by ${end["upstream"]} after ${
-      end["milliseconds"]
-    } ms`;
+    return `Answered with status ${endLine["status"]} by ${
+      endLine["upstream"]
+    } after ${endLine["milliseconds"]} ms`;
   }
-  const promise = code.notRun ? "did not run" : "may have run";
-  const failed = own.findLast((line) => line.msg.endsWith("Attempt failed"));
+  const execution = code.notRun ? "did not run" : "may have run";
+  const failedAttempt = callLines.findLast((line) =>
+    line.msg.endsWith("Attempt failed")
+  );
   const causes: string[] = [code.meaning];
-  const spent = own.findLast((line) => line.msg.endsWith("Budget spent"));
-  if (spent !== undefined) {
+  const budgetLine = callLines.findLast((line) =>
+    line.msg.endsWith("Budget spent")
+  );
+  if (budgetLine !== undefined) {
     causes.push(
-      `of ${spent["budget"]} tokens ${spent["spent"]} were spent and ${
-        spent["reserved"]
-      } reserved for ${spent["open_turns"]} open turns`,
+      `of ${budgetLine["budget"]} tokens ${
+        budgetLine["spent"]
+      } were spent and ${budgetLine["reserved"]} reserved for ${
+        budgetLine["open_turns"]
+      } open turns`,
     );
   }
-  if (failed !== undefined) {
+  if (failedAttempt !== undefined) {
     causes.push(
-      `the last attempt, at ${failed["upstream"]}, ended as ${
-        failed["outcome"]
-      }: ${failed["reason"]}`,
+      `the last attempt, at ${failedAttempt["upstream"]}, ended as ${
+        failedAttempt["outcome"]
+      }: ${failedAttempt["reason"]}`,
     );
   }
-  if (stall !== undefined) {
+  if (stallLine !== undefined) {
     causes.push(
       `its gateway stood still for ${
-        stall["milliseconds"]
-      } ms up to ${stall.time}`,
+        stallLine["milliseconds"]
+      } ms up to ${stallLine.time}`,
     );
   }
-  const lost = beliefs.findLast((line) => line.msg.includes("Leader "));
-  if (lost?.msg.includes("Leader lost") === true) {
+  const leaderLine = stateChanges.findLast((line) =>
+    line.msg.includes("Leader ")
+  );
+  if (leaderLine?.msg.includes("Leader lost") === true) {
     causes.push(
-      `its gateway had lost the leader ${lost["store"]} (${
-        lost["reason"]
-      }) at ${lost.time}`,
+      `its gateway had lost the leader ${leaderLine["store"]} (${
+        leaderLine["reason"]
+      }) at ${leaderLine.time}`,
     );
   }
-  return `Ended with ${code.name}, so it ${promise}: ${causes.join("; ")}`;
+  return `Ended with ${code.name}, so it ${execution}: ${causes.join("; ")}`;
 }
 
-/** Prints the story of a request. */
+/** Reads log files and prints the explanation of a request. */
 export function explainRequest(
   context: CommandContext,
   call: string,
@@ -139,25 +163,26 @@
       lines.push(...readLogLines(readFileSync(source, "utf8")));
     } catch (thrown) {
       const message = thrown instanceof Error ? thrown.message : String(thrown);
-      return context.failUsage(`Cannot read ${source}: ${message}`);
+      return context.failWithUsageError(`Cannot read ${source}: ${message}`);
     }
   }
-  const story = explainCall(lines, call);
-  if (story === undefined) {
-    return context.failUsage(`No line names request ${call}`);
+  const explanation = createExplanation(lines, call);
+  if (explanation === undefined) {
+    return context.failWithUsageError(`No log line found for request ${call}`);
   }
   context.show(
-    story,
-    () => [...story.lines.map(formatLine), story.verdict].join("\n"),
+    explanation,
+    () =>
+      [...explanation.lines.map(formatLine), explanation.verdict].join("\n"),
   );
 }
 
 function formatLine(line: LogLine): string {
-  const facts: string[] = [];
-  for (const [fact, value] of Object.entries(line)) {
-    const isFrame = ["name", "hostname", "pid", "level", "msg", "time", "v"]
-      .includes(fact);
-    if (!isFrame && value !== "") facts.push(`${fact}=${String(value)}`);
+  const fields: string[] = [];
+  for (const [field, value] of Object.entries(line)) {
+    const isCommon = ["name", "hostname", "pid", "level", "msg", "time", "v"]
+      .includes(field);
+    if (!isCommon && value !== "") fields.push(`${field}=${String(value)}`);
   }
-  return `${line.time} ${line.name} ${line.msg} ${facts.join(" ")}`;
+  return `${line.time} ${line.name} ${line.msg} ${fields.join(" ")}`;
 }
--- a/packages/cli/src/commands/gateway_commands.ts
+++ b/packages/cli/src/commands/gateway_commands.ts
@@ -1,4 +1,4 @@
-/** routing, workspaces and store: what operators tell a gateway. `--entry` names its address. */
+/** The routing, workspaces and store commands. For them `--entry` is the URL of a gateway. */
 
 import { readFileSync } from "node:fs";
 import {
@@ -14,7 +14,7 @@
 import type { CommandContext } from "../command_context.ts";
 import { formatTable } from "../output/format_table.ts";
 
-/** Shows the routing document that is in force. */
+/** Shows the current routing document. */
 export async function showRouting(context: CommandContext): Promise<void> {
   const document = await context.client.send<RoutingDocument>({
     method: "GET",
@@ -23,7 +23,7 @@
   context.finish(document, describeRouting);
 }
 
-/** Puts a whole routing document in force. */
+/** Replaces the whole routing document by one from a file, unless a newer version is in force. */
 export async function replaceRouting(
   context: CommandContext,
   file: string,
@@ -33,15 +33,15 @@
     document = JSON.parse(readFileSync(file, "utf8")) as RoutingDocument;
   } catch (thrown) {
     const message = thrown instanceof Error ? thrown.message : String(thrown);
-    return context.failUsage(`Cannot read ${file}: ${message}`);
+    return context.failWithUsageError(`Cannot read ${file}: ${message}`);
   }
-  const done = await context.client.send<DocumentAck>({
+  const acknowledgement = await context.client.send<DocumentAck>({
     method: "PUT",
     path: "/v1/routing",
     body: document,
   });
   context.finish(
-    done,
+    acknowledgement,
     ({ version }) =>
       version === document.version
         ? `Version ${version} is in force`
@@ -49,47 +49,47 @@
   );
 }
 
-/** Lists the workspaces of the document in force, without their keys. */
+/** Lists the workspaces of the current document, without their keys. */
 export async function listWorkspaces(context: CommandContext): Promise<void> {
   context.finish(await readWorkspaces(context), formatWorkspaces);
 }
 
-/** Shows one workspace of the document in force, without its keys. */
+/** Shows one workspace of the current document, without its keys. */
 export async function describeWorkspace(
   context: CommandContext,
   name: string,
 ): Promise<void> {
-  const found = (await readWorkspaces(context)).andThen((workspaces) => {
+  const result = (await readWorkspaces(context)).andThen((workspaces) => {
     const workspace = workspaces.find((each) => each.name === name);
     if (workspace !== undefined) return Ok(workspace);
     return fail(
       RESULT_CODES.RESOURCE_NOT_FOUND,
-      `There is no workspace ${name}`,
+      `Workspace ${name} does not exist`,
     );
   });
-  context.finish(found, (workspace) => formatWorkspaces([workspace]));
+  context.finish(result, (workspace) => formatWorkspaces([workspace]));
 }
 
-/** Starts to empty a store. */
+/** Starts to empty a store, so that it can be removed. */
 export async function retireStore(
   context: CommandContext,
   name: string,
 ): Promise<void> {
-  const done = await context.client.send<object>({
+  const result = await context.client.send<object>({
     method: "POST",
-    path: formatPath(name),
+    path: formatRetirementPath(name),
   });
-  context.finish(done, () => `Store ${name} is being emptied`);
+  context.finish(result, () => `Store ${name} is being emptied`);
 }
 
-/** Shows whether a store may be taken away. */
+/** Shows whether a retired store is empty and may be removed. */
 export async function showRetirement(
   context: CommandContext,
   name: string,
 ): Promise<void> {
   const state = await context.client.send<RetireState>({
     method: "GET",
-    path: formatPath(name),
+    path: formatRetirementPath(name),
   });
   context.finish(
     state,
@@ -100,18 +100,18 @@
   );
 }
 
-function formatPath(name: string): string {
+function formatRetirementPath(name: string): string {
   return `/v1/stores/${encodeURIComponent(name)}/retirement`;
 }
 
-/** A workspace as operators see it. */
-interface ShownWorkspace extends Omit<Workspace, "keyDigests"> {
+/** A workspace with the number of its keys instead of their digests. */
+interface WorkspaceSummary extends Omit<Workspace, "keyDigests"> {
   readonly keys: number;
 }
 
 async function readWorkspaces(
   context: CommandContext,
-): Promise<Outcome<readonly ShownWorkspace[]>> {
+): Promise<Outcome<readonly WorkspaceSummary[]>> {
   const document = await context.client.send<RoutingDocument>({
     method: "GET",
     path: "/v1/routing",
@@ -124,7 +124,7 @@
   );
 }
 
-function formatWorkspaces(workspaces: readonly ShownWorkspace[]): string {
+function formatWorkspaces(workspaces: readonly WorkspaceSummary[]): string {
   const rows = workspaces.map((workspace) => [
     workspace.name,
     String(workspace.keys),
@@ -147,6 +147,6 @@
       .join(" "),
     String(route.timeoutMilliseconds),
   ]);
-  const head = ["route", "place", "kind", "services", "timeout ms"];
-  return `Version ${document.version}\n${formatTable(head, rows)}`;
+  const header = ["route", "place", "kind", "services", "timeout ms"];
+  return `Version ${document.version}\n${formatTable(header, rows)}`;
 }
--- a/packages/cli/src/commands/resource_commands.ts
+++ b/packages/cli/src/commands/resource_commands.ts
@@ -1,4 +1,4 @@
-/** get, list, apply, delete and drain. */
+/** The get, list, apply, delete and drain commands. */
 
 import { randomUUID } from "node:crypto";
 import { readFileSync } from "node:fs";
@@ -12,21 +12,21 @@
 import type { CommandContext } from "../command_context.ts";
 import { formatTable } from "../output/format_table.ts";
 
-/** Names one resource. */
+/** Kind and name of a resource. */
 export interface ResourceName {
   readonly kind: string;
   readonly name: string;
 }
 
-/** What apply is told. */
+/** Options of the apply command. */
 export interface ApplyOptions {
   /** JSON file with the spec. */
   readonly file?: string;
   /** The spec as JSON. */
   readonly spec?: string;
-  /** Version that must be in force; the present one if missing. */
+  /** Expected current version; the current version is looked up if missing. */
   readonly version?: string;
-  /** Idempotency key; made if missing. */
+  /** Idempotency key; generated if missing. */
   readonly order?: string;
 }
 
@@ -42,7 +42,7 @@
 ): Promise<void> {
   const found = await context.client.send<Resource>({
     method: "GET",
-    path: formatPath(name),
+    path: formatResourcePath(name),
   });
   context.finish(found, (resource) => describeResources([resource], true));
 }
@@ -60,7 +60,7 @@
   context.finish(found, (list) => describeResources(list.resources, false));
 }
 
-/** Writes a resource. */
+/** Creates or updates a resource. */
 export async function applyResource(
   context: CommandContext,
   name: ResourceName,
@@ -68,16 +68,18 @@
 ): Promise<void> {
   const text = readSpec(options);
   if (text === undefined) {
-    return context.failUsage("Give the spec with either --file or --spec");
+    return context.failWithUsageError(
+      "Give the spec with either --file or --spec",
+    );
   }
   let spec: unknown;
   try {
     spec = JSON.parse(text);
   } catch {
-    return context.failUsage("The spec is not JSON");
+    return context.failWithUsageError("The spec is not valid JSON");
   }
   const version = await findVersion(context, name, options.version);
-  if (version.err) return context.failWith(version.val);
+  if (version.err) return context.failWithError(version.val);
   await putSpec(context, name, {
     spec,
     version: version.val,
@@ -92,11 +94,11 @@
   options: Pick<ApplyOptions, "version" | "order">,
 ): Promise<void> {
   const version = await findVersion(context, name, options.version);
-  if (version.err) return context.failWith(version.val);
+  if (version.err) return context.failWithError(version.val);
   const query = `version=${version.val}&order_id=${
     options.order ?? randomUUID()
   }`;
-  const path = `${formatPath(name)}?${query}`;
+  const path = `${formatResourcePath(name)}?${query}`;
   const deleted = await context.client.send<OrderResult>({
     method: "DELETE",
     path,
@@ -108,7 +110,7 @@
   );
 }
 
-/** Makes an upstream leave, or come back. */
+/** Drains an upstream, or puts it back into service. */
 export async function drainUpstream(
   context: CommandContext,
   upstream: string,
@@ -117,12 +119,12 @@
   const name = { kind: "upstream", name: upstream };
   const found = await context.client.send<Resource>({
     method: "GET",
-    path: formatPath(name),
+    path: formatResourcePath(name),
   });
-  if (found.err) return context.failWith(found.val);
+  if (found.err) return context.failWithError(found.val);
   const { spec, version } = found.val;
-  const drained = { ...spec, drain: options.undo !== true };
-  await putSpec(context, name, { spec: drained, version });
+  const updatedSpec = { ...spec, drain: options.undo !== true };
+  await putSpec(context, name, { spec: updatedSpec, version });
 }
 
 async function putSpec(
@@ -136,7 +138,7 @@
 ): Promise<void> {
   const orderId = order.order ?? randomUUID();
   const body = { order_id: orderId, version: order.version, spec: order.spec };
-  const path = formatPath(name);
+  const path = formatResourcePath(name);
   const written = await context.client.send<OrderResult>({
     method: "PUT",
     path,
@@ -152,12 +154,12 @@
 async function findVersion(
   context: CommandContext,
   name: ResourceName,
-  asked: string | undefined,
+  requestedVersion: string | undefined,
 ): Promise<Outcome<number>> {
-  if (asked !== undefined) return Ok(Number(asked));
+  if (requestedVersion !== undefined) return Ok(Number(requestedVersion));
   const found = await context.client.send<Resource>({
     method: "GET",
-    path: formatPath(name),
+    path: formatResourcePath(name),
   });
   if (found.ok) return Ok(found.val.version);
   if (found.val.code === RESULT_CODES.RESOURCE_NOT_FOUND) return Ok(0);
@@ -165,13 +167,13 @@
 }
 
 function readSpec(options: ApplyOptions): string | undefined {
-  const isBoth = options.file !== undefined && options.spec !== undefined;
-  if (isBoth) return undefined;
+  const hasBoth = options.file !== undefined && options.spec !== undefined;
+  if (hasBoth) return undefined;
   if (options.file === undefined) return options.spec;
   return readFileSync(options.file, "utf8");
 }
 
-function formatPath(name: ResourceName): string {
+function formatResourcePath(name: ResourceName): string {
   return `/v1/resources/${encodeURIComponent(name.kind)}/${
     encodeURIComponent(name.name)
   }`;
@@ -179,10 +181,10 @@
 
 function describeResources(
   resources: readonly Resource[],
-  whole: boolean,
+  isIndented: boolean,
 ): string {
   const rows = resources.map((resource) => {
-    const spec = JSON.stringify(resource.spec, undefined, whole ? 2 : 0);
+    const spec = JSON.stringify(resource.spec, undefined, isIndented ? 2 : 0);
     return [
       resource.kind,
       resource.name,
--- a/packages/cli/src/commands/site_commands.ts
+++ b/packages/cli/src/commands/site_commands.ts
@@ -1,4 +1,4 @@
-/** status, watch and check-settings. */
+/** The status, watch and check-settings commands. */
 
 import { type IncomingMessage } from "node:http";
 import type { Buffer } from "node:buffer";
@@ -11,7 +11,7 @@
   type SiteStatusBody,
 } from "../output/describe_status.ts";
 
-/** Shows the whole site. */
+/** Shows the status of the site. */
 export async function showStatus(context: CommandContext): Promise<void> {
   const status = await context.client.send<SiteStatusBody>({
     method: "GET",
@@ -20,48 +20,48 @@
   context.finish(status, describeStatus);
 }
 
-/** Prints changes as they come, one JSON line each. */
+/** Prints changes as they arrive, each as one line of JSON. */
 export async function watchChanges(
   context: CommandContext,
   options: { readonly from: number; readonly count?: number },
 ): Promise<void> {
   const path = `/v1/watch?from_revision=${options.from}`;
-  const opened = await context.client.open({ method: "GET", path });
-  if (opened.err) return context.failWith(opened.val);
-  const answer = opened.val;
-  if (answer.statusCode !== 200) {
-    const refused = readBody(
-      answer.statusCode ?? 0,
-      String(await Wreck.read(answer, {})),
+  const result = await context.client.open({ method: "GET", path });
+  if (result.err) return context.failWithError(result.val);
+  const response = result.val;
+  if (response.statusCode !== 200) {
+    const failure = readBody(
+      response.statusCode ?? 0,
+      String(await Wreck.read(response, {})),
     );
-    if (refused.err) context.failWith(refused.val);
+    if (failure.err) context.failWithError(failure.val);
     return;
   }
-  await printChanges(context, answer, options.count ?? Infinity);
+  await printChanges(context, response, options.count ?? Infinity);
 }
 
-/** Checks a settings file and lists every mistake. */
+/** Checks a settings file and prints every mistake. */
 export function checkSettings(context: CommandContext, file: string): void {
   const settings = loadSettings(file);
   if (settings.ok) return context.print("The settings are valid");
   for (const mistake of settings.val) context.print(describeMistake(mistake));
-  context.failUsage(`${settings.val.length} mistakes in ${file}`);
+  context.failWithUsageError(`${settings.val.length} mistakes in ${file}`);
 }
 
 async function printChanges(
   context: CommandContext,
-  answer: IncomingMessage,
-  most: number,
+  response: IncomingMessage,
+  maxCount: number,
 ): Promise<void> {
-  let rest = "";
-  let printed = 0;
-  for await (const bytes of answer) {
-    const lines = (rest + String(bytes as Buffer)).split("\n");
-    rest = lines.pop() ?? "";
+  let partialLine = "";
+  let printedCount = 0;
+  for await (const bytes of response) {
+    const lines = (partialLine + String(bytes as Buffer)).split("\n");
+    partialLine = lines.pop() ?? "";
     for (const line of lines) {
       if (!line.startsWith("data:")) continue;
       context.print(line.slice(5).trim());
-      if (++printed >= most) return void answer.destroy();
+      if (++printedCount >= maxCount) return void response.destroy();
     }
   }
 }
--- a/packages/cli/src/exit_codes.ts
+++ b/packages/cli/src/exit_codes.ts
@@ -2,18 +2,18 @@
 
 import { RESULT_CODES } from "@mallowlift/core";
 
-/** What a script can tell from the exit code. */
+/** Exit codes that scripts can rely on. */
 export const EXIT_CODES = {
   OK: 0,
   /** The request was refused or failed. */
   REFUSED: 1,
-  /** The command line is wrong. */
+  /** The command line or a file that it names is invalid. */
   USAGE: 2,
-  /** Somebody else changed the resource first. */
+  /** The resource does not have the expected version. */
   CONFLICT: 3,
-  /** There is no such resource. */
+  /** The resource does not exist. */
   NOT_FOUND: 4,
-  /** No entry answered. */
+  /** No response came from the entry. */
   UNREACHABLE: 5,
 } as const;
 
@@ -25,7 +25,7 @@
  *
  * @example
  * ```ts
- * findExitCode(1007); // 3, a conflict of versions
+ * findExitCode(1007); // 3, a version conflict
  * ```
  */
 export function findExitCode(resultCode: number): ExitCode {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -5,7 +5,7 @@
 import { createCommandLine, PROCESS_OUTPUT } from "./cli_app.ts";
 import { EXIT_CODES } from "./exit_codes.ts";
 
-/** Reads the command line and runs one command. */
+/** Parses the command line, runs its command and sets the exit code. */
 export function runMain(): void {
   const program = createCommandLine(PROCESS_OUTPUT);
   for (const command of [program, ...program.commands]) command.exitOverride();
--- a/packages/cli/src/mod.ts
+++ b/packages/cli/src/mod.ts
@@ -1,4 +1,4 @@
-/** The mallowctl operator tool. */
+/** Public modules of mallowctl, the operators' tool. */
 
 export * from "./cli_app.ts";
 export * from "./client/operator_client.ts";
--- a/packages/cli/src/number_option.ts
+++ b/packages/cli/src/number_option.ts
@@ -1,8 +1,8 @@
-/** Numbers on a command line: a wrong one is an error, not a NaN. */
+/** Parsers for numbers on a command line; an invalid number is an error instead of NaN. */
 
 import { InvalidArgumentError } from "commander";
 
-/** Bounds of a number. */
+/** Inclusive bounds of a number. */
 export interface NumberBounds {
   readonly least: number;
   readonly most: number;
@@ -11,7 +11,8 @@
 }
 
 /**
- * Makes the reader of an option that holds one number.
+ * Returns a parser for an option that takes one number. The parser throws
+ * {@linkcode InvalidArgumentError} for other text and for numbers out of bounds.
  *
  * @example
  * ```ts
@@ -22,20 +23,20 @@
   const pattern = bounds.fraction === true ? /^\d+(\.\d+)?$/ : /^\d+$/;
   return (text) => {
     const value = Number(text);
-    const fits = pattern.test(text) && value >= bounds.least &&
+    const isValid = pattern.test(text) && value >= bounds.least &&
       value <= bounds.most;
-    if (fits) return value;
-    const kind = bounds.fraction === true ? "A number" : "A whole number";
+    if (isValid) return value;
+    const kind = bounds.fraction === true ? "a number" : "a whole number";
     throw new InvalidArgumentError(
-      `${kind} from ${bounds.least} to ${bounds.most} is needed`,
+      `Expected ${kind} from ${bounds.least} to ${bounds.most}`,
     );
   };
 }
 
-/** Makes the reader of an option that holds numbers separated by commas. */
+/** Returns a parser for an option that takes numbers separated by commas. */
 export function readNumbers(
   bounds: NumberBounds,
 ): (text: string) => readonly number[] {
-  const read = readNumber(bounds);
-  return (text) => text.split(",").map(read);
+  const parse = readNumber(bounds);
+  return (text) => text.split(",").map(parse);
 }
--- a/packages/cli/src/output/describe_status.ts
+++ b/packages/cli/src/output/describe_status.ts
@@ -1,4 +1,4 @@
-/** The status of a site at a glance. */
+/** Formats the status of a site as text. */
 
 import type {
   FollowerStatus,
@@ -7,7 +7,7 @@
 } from "@mallowlift/core";
 import { formatTable } from "./format_table.ts";
 
-/** Status of a site, as an entry answers. */
+/** Body of an entry's response with the status of its site. */
 export interface SiteStatusBody {
   readonly revision: number;
   readonly replicas: readonly {
@@ -28,13 +28,13 @@
   }[];
 }
 
-const SHORT_INCARNATION = 8;
+const INCARNATION_PREFIX_LENGTH = 8;
 
-/** Describes members, leaders, lag, revisions, queues, drains and refusals. */
+/** Formats members, leaders, lag, revisions, queues, drains and refusals. */
 export function describeStatus(status: SiteStatusBody): string {
   return [
     `Revision in force: ${status.revision}`,
-    describeLaggards(status),
+    describeLaggingFollowers(status),
     formatTable(
       [
         "REPLICA",
@@ -47,7 +47,7 @@
       status.replicas.map((replica) => [
         replica.replicaId,
         replica.failureDomain,
-        replica.incarnation.slice(0, SHORT_INCARNATION),
+        replica.incarnation.slice(0, INCARNATION_PREFIX_LENGTH),
         replica.leads.join(",") || "-",
         String(replica.programs),
         String(replica.openCalls),
@@ -75,15 +75,15 @@
   ].join("\n\n");
 }
 
-function describeLaggards(status: SiteStatusBody): string {
-  const laggards = status.followers.filter((known) =>
-    known.revision < status.revision
+function describeLaggingFollowers(status: SiteStatusBody): string {
+  const laggingFollowers = status.followers.filter((follower) =>
+    follower.revision < status.revision
   );
-  if (laggards.length === 0) {
+  if (laggingFollowers.length === 0) {
     return `All ${status.followers.length} followers have it`;
   }
-  const names = laggards.map((known) =>
-    `${known.daemonId} at ${known.revision}`
+  const names = laggingFollowers.map((follower) =>
+    `${follower.daemonId} at ${follower.revision}`
   );
   return `Lagging: ${names.join(", ")}`;
 }
@@ -103,7 +103,7 @@
 function describeRefusals(status: SiteStatusBody): string {
   if (status.refusals.length === 0) return "No refusals at this entry";
   const rows = status.refusals.map((
-    known,
-  ) => [known.part, known.reason, String(known.count)]);
+    refusal,
+  ) => [refusal.part, refusal.reason, String(refusal.count)]);
   return formatTable(["PART", "REFUSED FOR", "COUNT"], rows);
 }
--- a/packages/cli/src/output/format_table.ts
+++ b/packages/cli/src/output/format_table.ts
@@ -1,9 +1,9 @@
-/** Tables for people. */
+/** Formats plain-text tables. */
 
-const GAP = "  ";
+const COLUMN_GAP = "  ";
 
 /**
- * Lays rows out in columns.
+ * Formats a header and rows as text with aligned columns.
  *
  * @example
  * ```ts
@@ -12,15 +12,17 @@
  * ```
  */
 export function formatTable(
-  head: readonly string[],
+  header: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const lines = [head, ...rows];
-  const widths = head.map((_, column) =>
+  const lines = [header, ...rows];
+  const widths = header.map((_, column) =>
     Math.max(...lines.map((line) => (line[column] ?? "").length))
   );
   return lines.map((line) =>
-    line.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join(GAP)
+    line.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join(
+      COLUMN_GAP,
+    )
       .trimEnd()
   ).join("\n");
 }
