--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,6 +1,6 @@
 /**
- * Bundles the daemon with the platform's dialects: a small script that opens
- * the callers' port, the daemon itself, and its compiled code.
+ * Bundles the daemon with the platform's dialects: a small start script that
+ * opens the callers' port, the daemon itself, and the daemon's V8 code cache.
  */
 
 const { execFileSync } = require("node:child_process");
@@ -21,9 +21,9 @@
     bundle: true,
     platform: "node",
     target: "node20",
-    // Add-ons that cbor-x and bunyan do without.
+    // Optional add-ons; cbor-x and bunyan work without them.
     external: ["cbor-extract", "dtrace-provider", "source-map-support"],
-    // The sources of the packages, not what another build left of them.
+    // Bundle from the sources, not from the possibly stale output of an earlier build.
     alias: Object.fromEntries(
       [
         "boot",
@@ -46,21 +46,29 @@
         join(root, "packages", name, "src", "mod.ts"),
       ]),
     ),
-    // ts-results finds its parts in a way that no bundler can follow; its other
-    // build has none of that.
+    // The UMD build of ts-results loads its modules in a way that bundlers
+    // cannot analyze, so its ES module build is preferred.
     mainFields: ["module", "main"],
     tsconfig: join(root, "tsconfig.base.json"),
     logLevel: "warning",
   });
 }
 
-/** Compiled code is only taken by a Node that runs with the same options. */
+/**
+ * Saves the code cache once for each set of Node options in the deployment, as
+ * Node accepts a code cache only from a process with the same options.
+ */
 function saveCode() {
   const deploy = readFileSync(join(root, "deploy", "system.toml"), "utf8");
-  const all = [...deploy.matchAll(NODE_OPTIONS)].map((match) => match[1]);
-  for (const options of new Set(all)) {
-    const words = options.split(" ").filter((word) => word !== "");
-    execFileSync(process.execPath, [...words, join(target, "save_code.js")], {
+  const optionSets = [...deploy.matchAll(NODE_OPTIONS)].map((match) =>
+    match[1]
+  );
+  for (const options of new Set(optionSets)) {
+    const nodeArguments = options.split(" ").filter((option) => option !== "");
+    execFileSync(process.execPath, [
+      ...nodeArguments,
+      join(target, "save_code.js"),
+    ], {
       stdio: "inherit",
     });
   }
--- a/scripts/setup.js
+++ b/scripts/setup.js
@@ -1,4 +1,7 @@
-/** Installs and builds what is missing, so that one command is enough on a fresh clone. */
+/**
+ * Installs missing or outdated dependencies and builds all packages, so that
+ * one command is enough on a fresh clone.
+ */
 
 const { execFileSync } = require("node:child_process");
 const { existsSync, statSync } = require("node:fs");
@@ -6,15 +9,15 @@
 
 const root = join(__dirname, "..");
 const lockFile = join(root, "package-lock.json");
-const installed = join(root, "node_modules", ".package-lock.json");
+const installedLockFile = join(root, "node_modules", ".package-lock.json");
 
-/** True if the lock file is newer than what is installed. */
+/** True if the dependencies are missing or older than the lock file. */
 function isStale() {
-  if (!existsSync(installed)) return true;
-  return statSync(lockFile).mtimeMs > statSync(installed).mtimeMs;
+  if (!existsSync(installedLockFile)) return true;
+  return statSync(lockFile).mtimeMs > statSync(installedLockFile).mtimeMs;
 }
 
-/** Runs a command in the root folder and shows what it prints. */
+/** Runs a command in the root folder with its output shown. */
 function run(command, commandArguments) {
   execFileSync(command, commandArguments, { cwd: root, stdio: "inherit" });
 }
--- a/scripts/test.js
+++ b/scripts/test.js
@@ -1,6 +1,7 @@
 /**
- * Runs all tests and closes with a plain line. Tests that KNOWN-RED.txt names
- * are printed and passed over; any other failure fails the run.
+ * Runs all tests and prints a summary line at the end. Failures of the tests
+ * listed in KNOWN-RED.txt are tolerated, and these tests are printed; any other
+ * failure fails the run.
  */
 
 const { spawn } = require("node:child_process");
@@ -11,7 +12,7 @@
 const TOTALS = /# \{ total: (\d+), pass: (\d+)(?:, fail: (\d+))?/g;
 const FAILED_TEST = /^✖ ?(.+?)(?: >.*)?$/gm;
 
-/** Names of tests that fail for a known fault, one a line before a comma. */
+/** Reads the names of tests with a known fault: one on each line, before " | ". */
 function readKnownRed() {
   const path = join(root, "KNOWN-RED.txt");
   if (!existsSync(path)) return [];
@@ -20,17 +21,21 @@
     .filter((name) => name !== "");
 }
 
-/** Prints the closing lines and sets the exit code. */
-function close(output, code) {
+/** Prints the summary and exits with the result of the run. */
+function printSummaryAndExit(output, code) {
   const totals = [...output.matchAll(TOTALS)].at(-1);
   const passed = Number(totals?.[2] ?? 0);
   const failed = Number(totals?.[3] ?? 0);
-  const known = readKnownRed();
-  const names = [...output.matchAll(FAILED_TEST)].map((match) => match[1]);
-  const unknown = names.filter((name) => !known.includes(name.trim()));
-  for (const name of known) console.log(`known red: ${name}`);
+  const knownNames = readKnownRed();
+  const failedNames = [...output.matchAll(FAILED_TEST)].map((match) =>
+    match[1]
+  );
+  const unexpectedNames = failedNames.filter((name) =>
+    !knownNames.includes(name.trim())
+  );
+  for (const name of knownNames) console.log(`known red: ${name}`);
   console.log(`${passed} passed, ${failed} failed`);
-  const onlyKnown = names.length > 0 && unknown.length === 0;
+  const onlyKnown = failedNames.length > 0 && unexpectedNames.length === 0;
   process.exit(code === 0 || onlyKnown ? 0 : 1);
 }
 
@@ -47,4 +52,4 @@
   output += bytes;
   process.stdout.write(bytes);
 });
-tap.on("close", (code) => close(output, code));
+tap.on("close", (code) => printSummaryAndExit(output, code));
