--- a/packages/bench/src/gateway_soak/gateway_faults.ts
+++ b/packages/bench/src/gateway_soak/gateway_faults.ts
@@ -51,8 +51,8 @@
   "cut in silence": (parts) => withProxy(parts, (proxy) => proxy.cut()),
   "cut one way": (parts) =>
     withProxy(parts, ({ faults }) => {
-      if (parts.random.happens(50)) faults.silentToClient = true;
-      else faults.silentToServer = true;
+      if (parts.random.happens(50)) faults.dropToClient = true;
+      else faults.dropToServer = true;
     }),
   "delay": (parts) =>
     withProxy(parts, ({ faults }) => {
--- a/packages/bench/src/soak/fault_schedule.ts
+++ b/packages/bench/src/soak/fault_schedule.ts
@@ -132,8 +132,8 @@
 
 async function cutOneWay(targets: FaultTargets, random: Random): Promise<void> {
   const { proxy } = random.choose(targets.site.proxies);
-  if (random.happens(50)) proxy.faults.silentToClient = true;
-  else proxy.faults.silentToServer = true;
+  if (random.happens(50)) proxy.faults.dropToClient = true;
+  else proxy.faults.dropToServer = true;
   await sleep(random.between(300, 6_000));
   proxy.heal();
 }
@@ -176,10 +176,10 @@
 ): Promise<void> {
   const { faults } = random.choose(targets.engines);
   faults.duplicateEvents = true;
-  faults.crossEvents = random.happens(50);
+  faults.injectForeignEvents = random.happens(50);
   await sleep(random.between(300, 2_000));
   faults.duplicateEvents = false;
-  faults.crossEvents = false;
+  faults.injectForeignEvents = false;
 }
 
 async function dropAnswers(
--- a/packages/mocks/src/engine/cache_events.ts
+++ b/packages/mocks/src/engine/cache_events.ts
@@ -1,24 +1,30 @@
-/** Cache events of a fake engine: they come out late, and some never do. */
+/**
+ * Cache events of a fake engine. They are published with a delay, and some can
+ * be left out, so that tests cover an incomplete view of the cache.
+ */
 
-/** Events that are kept; older ones are gone for whoever asks late. */
-const KEPT_EVENTS = 1_000;
+/** Number of events that are kept; readers that fall behind miss older ones. */
+const MAX_EVENTS = 1_000;
 
-/** What a program's prompt left in the cache. */
+/** One finished generation whose prompt and answer are in the cache. */
 export interface CacheEvent {
   readonly sequence: number;
+  /** Time of the event, ms since the epoch. */
   readonly at: number;
   readonly session: string;
+  /** Tokens of the prompt and the answer. */
   readonly tokens: number;
 }
 
-/** How late and how full of gaps the events are. */
+/** Delay and gaps of the published events. */
 export interface CacheEventOptions {
+  /** Time from an event until it is published, ms. */
   readonly eventLagMilliseconds: number;
-  /** Every so many events are left out; 0 for none. */
+  /** Every n-th event is left out, for this n; 0 to leave out none. */
   readonly eventGap: number;
 }
 
-/** The newest events. */
+/** Keeps the newest events and publishes them with a delay. */
 export class CacheEvents {
   readonly #options: CacheEventOptions;
   readonly #events: CacheEvent[] = [];
@@ -28,20 +34,20 @@
     this.#options = options;
   }
 
-  /** Notes an event, unless it is one that never comes out. */
-  note(session: string, tokens: number, now: number): void {
+  /** Adds an event, unless it falls into a gap. */
+  add(session: string, tokens: number, now: number): void {
     this.#sequence++;
     const { eventGap } = this.#options;
     if (eventGap > 0 && this.#sequence % eventGap === 0) return;
     this.#events.push({ sequence: this.#sequence, at: now, session, tokens });
-    if (this.#events.length > KEPT_EVENTS) this.#events.shift();
+    if (this.#events.length > MAX_EVENTS) this.#events.shift();
   }
 
-  /** Events after a sequence number that are old enough to come out. */
+  /** Returns the published events after a sequence number; `now` in ms. */
   list(after: number, now: number): readonly CacheEvent[] {
-    const until = now - this.#options.eventLagMilliseconds;
+    const publishedUntil = now - this.#options.eventLagMilliseconds;
     return this.#events.filter((event) =>
-      event.sequence > after && event.at <= until
+      event.sequence > after && event.at <= publishedUntil
     );
   }
 }
--- a/packages/mocks/src/engine/engine_stream.ts
+++ b/packages/mocks/src/engine/engine_stream.ts
@@ -1,9 +1,9 @@
-/** One generation of the fake engine. */
+/** One generation of the fake engine, and the answer that it produces. */
 
 import { createHash } from "node:crypto";
 import type { ChatMessage } from "@mallowlift/core";
 
-const WORDS = [
+const ANSWER_WORDS = [
   "ice",
   "stake",
   "melt",
@@ -15,7 +15,7 @@
 ];
 const BYTES_PER_TOKEN = 4;
 
-/** What a generation is asked for. */
+/** Request of a generation, as the engine receives it over HTTP. */
 export interface GenerationRequest {
   readonly id: string;
   readonly model: string;
@@ -27,8 +27,8 @@
 }
 
 /**
- * Words that the fake engine answers a prompt with. They follow from the
- * prompt alone, so a test knows the whole answer beforehand.
+ * Returns the answer of a fake engine to a prompt. It depends only on the
+ * prompt and the engine's salt, so that a test can compute the expected answer.
  *
  * @example
  * ```ts
@@ -48,7 +48,7 @@
   return text;
 }
 
-/** Engines with different salts answer the same prompt differently. */
+/** Hashes a prompt; engines with different salts give different answers. */
 function createSeed(
   messages: readonly ChatMessage[],
   salt: string,
@@ -58,7 +58,7 @@
 
 function composeWord(seed: Uint8Array, position: number): string {
   const byte = seed[position % seed.length] ?? 0;
-  const word = WORDS[(byte + position) % WORDS.length] ?? "";
+  const word = ANSWER_WORDS[(byte + position) % ANSWER_WORDS.length] ?? "";
   return `${word}${position} `;
 }
 
@@ -68,15 +68,20 @@
   readonly #answer: string;
   readonly #seed: Uint8Array;
   promptTokens = 0;
+  /** Prompt tokens that were found in the cache. */
   cachedTokens = 0;
-  /** Steps until the prompt is computed. */
+  /** Steps that are left until the prompt is processed. */
   prefillSteps = 0;
+  /** Tokens of the answer so far, with the text that the request continues. */
   tokens: number;
+  /** Text that was generated here, without the text that the request continues. */
   text = "";
   finished = false;
   cancelled = false;
+  /** Time at which the generation finished, ms since the epoch. */
   endedAt = Infinity;
-  onGrowth: (() => void) | undefined;
+  /** Called after each step that may have generated text. */
+  onProgress: (() => void) | undefined;
 
   constructor(request: GenerationRequest, salt: string) {
     this.request = request;
@@ -85,18 +90,18 @@
     this.tokens = request.continue_text.split(" ").length - 1;
   }
 
-  /** Words that the whole answer has, with the part it continues. */
+  /** Tokens of the complete answer, with the text that the request continues. */
   get totalTokens(): number {
     return this.request.max_tokens;
   }
 
-  /** Generates one token, or computes a part of the prompt. */
+  /** Generates one token, or processes one part of the prompt. */
   step(now: number): void {
     if (this.prefillSteps > 0) {
       this.prefillSteps--;
       return;
     }
-    // A text to be continued may already be the whole answer.
+    // The text that the request continues may already be complete.
     if (this.tokens < this.totalTokens) {
       this.text += composeWord(this.#seed, this.tokens);
       this.tokens++;
@@ -105,21 +110,21 @@
       this.finished = true;
       this.endedAt = now;
     }
-    this.onGrowth?.();
+    this.onProgress?.();
   }
 
-  /** The whole answer, for the cache. */
+  /** Complete answer, which is added to the cache at the end. */
   get answer(): string {
     return this.#answer;
   }
 
-  /** Tokens of the text so far, as usage counts them. */
-  get generated(): number {
+  /** Completion tokens so far, as usage reports them. */
+  get completionTokens(): number {
     return this.tokens;
   }
 }
 
-/** Approximate tokens of a text. */
+/** Estimates the number of tokens of a text. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / BYTES_PER_TOKEN);
 }
--- a/packages/mocks/src/engine/fake_engine.ts
+++ b/packages/mocks/src/engine/fake_engine.ts
@@ -1,4 +1,7 @@
-/** A model engine in small: continuous batching, prefix cache, priorities, orders. */
+/**
+ * A fake model engine with continuous batching, a prefix cache, priorities,
+ * resumable streams and operators' orders.
+ */
 
 import {
   type Request,
@@ -15,30 +18,35 @@
 import { type StreamFaults, streamGeneration } from "./stream_generation.ts";
 
 const PREFILL_TOKENS_PER_STEP = 512;
-const KEEP_MILLISECONDS = 10_000;
+const FINISHED_RETENTION_MILLISECONDS = 10_000;
 const MAX_BODY_BYTES = 64 * 1_024 * 1_024;
 const HTTP_CONFLICT = 409;
 const HTTP_NOT_FOUND = 404;
 
-/** How a fake engine behaves. */
+/** Behaviour of a fake engine. */
 export interface FakeEngineOptions {
+  /** Models that are loaded at the start. */
   readonly models: readonly string[];
+  /** Duration of one step, ms; a step generates one token per running request. */
   readonly stepMilliseconds: number;
+  /** Most generations that run at once. */
   readonly maxBatch: number;
+  /** Capacity of the prefix cache, tokens. */
   readonly cacheTokens: number;
+  /** Whether orders with an outdated fencing number are rejected. */
   readonly checksFencing: boolean;
-  /** How old the reported load is. */
+  /** Age of the reported load, ms. */
   readonly loadLagMilliseconds: number;
-  /** How late cache events come out. */
+  /** Time from a cache event until it is published, ms. */
   readonly eventLagMilliseconds: number;
-  /** Every so many cache events are left out; 0 for none. */
+  /** Every n-th cache event is left out, for this n; 0 to leave out none. */
   readonly eventGap: number;
-  /** Makes this engine's answers differ from those of others. */
+  /** Part of the seed of all answers, so that engines can differ in them. */
   readonly salt: string;
 }
 
-/** Behaviour of a fake engine unless said otherwise. */
-export const DEFAULT_ENGINE: FakeEngineOptions = {
+/** Default options of a fake engine. */
+export const DEFAULT_ENGINE_OPTIONS: FakeEngineOptions = {
   models: ["field-guide"],
   stepMilliseconds: 5,
   maxBatch: 32,
@@ -50,9 +58,9 @@
   salt: "",
 };
 
-/** Faults that a test can switch on. */
+/** Faults that a test can enable at run time. */
 export interface EngineFaults extends StreamFaults {
-  /** Stops generating without closing anything. */
+  /** Stops generating, while all connections stay open. */
   frozen: boolean;
 }
 
@@ -62,33 +70,35 @@
   readonly fencing_number: number;
 }
 
-/** One order that the engine carried out. */
-export interface TakenOrder extends EngineOrderBody {
+/** One order that the engine executed. */
+export interface ExecutedOrder extends EngineOrderBody {
+  /** Time of execution, ms since the epoch. */
   readonly at: number;
 }
 
-/** A fake engine. */
+/** A fake engine that listens on HTTP. */
 export class FakeEngine {
   readonly faults: EngineFaults = {
     breakAfterEvents: 0,
     duplicateEvents: false,
-    crossEvents: false,
+    injectForeignEvents: false,
     frozen: false,
   };
-  readonly orders: TakenOrder[] = [];
+  readonly orders: ExecutedOrder[] = [];
   readonly #options: FakeEngineOptions;
   readonly #server: Server;
   readonly #cache: PrefixCache;
   readonly #generations = new Map<string, Generation>();
   readonly #events: CacheEvents;
-  readonly #loads: LoadSamples;
+  readonly #loadSamples: LoadSamples;
   readonly #models: Set<string>;
-  readonly #stopped = new AbortController();
+  readonly #stopController = new AbortController();
   #waiting: Generation[] = [];
   #running: Generation[] = [];
   #role = "mixed";
-  #highestFencing = 0;
-  #stepping = false;
+  #highestFencingNumber = 0;
+  #isStepping = false;
+  /** Number of generations requested so far. */
   generations = 0;
   promptTokens = 0;
   cachedTokens = 0;
@@ -97,11 +107,11 @@
     options: Partial<FakeEngineOptions> = {},
     listen = { host: "127.0.0.1", port: 0 },
   ) {
-    this.#options = { ...DEFAULT_ENGINE, ...options };
+    this.#options = { ...DEFAULT_ENGINE_OPTIONS, ...options };
     this.#models = new Set(this.#options.models);
     this.#cache = new PrefixCache(this.#options.cacheTokens);
     this.#events = new CacheEvents(this.#options);
-    this.#loads = new LoadSamples(this.#options.loadLagMilliseconds);
+    this.#loadSamples = new LoadSamples(this.#options.loadLagMilliseconds);
     this.#server = new Server({
       ...listen,
       compression: false,
@@ -110,34 +120,34 @@
     this.#server.route(this.#listRoutes());
   }
 
-  /** HTTP address. */
+  /** Base URL. */
   get url(): string {
     return this.#server.info.uri;
   }
 
-  /** Programs that hold cache memory. */
+  /** Programs that have entries in the prefix cache, sorted. */
   get sessions(): readonly string[] {
     return this.#cache.sessions;
   }
 
-  /** Models that are loaded. */
+  /** Models that are loaded, sorted. */
   get models(): readonly string[] {
     return [...this.#models].sort();
   }
 
-  /** True while a generation of a program runs. */
+  /** Returns true while a generation of a program runs. */
   isRunning(session: string): boolean {
     return this.#running.some((known) => known.request.session === session);
   }
 
-  /** Starts to serve. */
+  /** Starts the server. */
   async start(): Promise<void> {
     await this.#server.start();
   }
 
-  /** Stops at once. */
+  /** Stops without waiting for open requests. */
   async stop(): Promise<void> {
-    this.#stopped.abort(ABORTED);
+    this.#stopController.abort(ABORTED);
     await this.#server.stop({ timeout: 0 });
   }
 
@@ -207,7 +217,7 @@
         method: "POST",
         path: "/v1/orders",
         handler: (request: Request, toolkit: ResponseToolkit) =>
-          this.#takeOrder(request, toolkit),
+          this.#executeOrder(request, toolkit),
       },
     ];
   }
@@ -223,8 +233,8 @@
     this.#generations.set(body.id, generation);
     this.#waiting.push(generation);
     this.generations++;
-    if (!this.#stepping) void this.#runSteps();
-    return this.#answerStream(generation, 0, toolkit);
+    if (!this.#isStepping) void this.#runSteps();
+    return this.#respondWithStream(generation, 0, toolkit);
   }
 
   #resume(request: Request, toolkit: ResponseToolkit): ResponseObject {
@@ -233,7 +243,7 @@
       return toolkit.response({}).code(HTTP_NOT_FOUND);
     }
     const offset = Number(request.query.offset ?? 0);
-    return this.#answerStream(generation, offset, toolkit);
+    return this.#respondWithStream(generation, offset, toolkit);
   }
 
   #cancel(id: string): object {
@@ -242,40 +252,40 @@
     return {};
   }
 
-  #answerStream(
+  #respondWithStream(
     generation: Generation,
-    from: number,
+    offset: number,
     toolkit: ResponseToolkit,
   ): ResponseObject {
     const { faults } = this;
-    const output = streamGeneration(generation, from, { faults });
+    const output = streamGeneration(generation, offset, { faults });
     return toolkit.response(output).type("text/event-stream");
   }
 
   async #runSteps(): Promise<void> {
-    this.#stepping = true;
+    this.#isStepping = true;
     let next = performance.now();
-    while (!this.#stopped.signal.aborted) {
+    while (!this.#stopController.signal.aborted) {
       next += this.#options.stepMilliseconds;
       await sleep(Math.max(0, next - performance.now()));
       if (this.faults.frozen) continue;
-      this.#admit();
+      this.#startWaiting();
       const now = Date.now();
       for (const generation of this.#running) {
         if (!generation.cancelled) generation.step(now);
       }
-      this.#retire(now);
-      this.#loads.add({
+      this.#removeFinished(now);
+      this.#loadSamples.add({
         at: now,
         running: this.#running.length,
         waiting: this.#waiting.length,
       });
       if (this.#running.length === 0 && this.#waiting.length === 0) break;
     }
-    this.#stepping = false;
+    this.#isStepping = false;
   }
 
-  #admit(): void {
+  #startWaiting(): void {
     this.#waiting = this.#waiting.filter((generation) => !generation.cancelled);
     this.#waiting.sort((left, right) =>
       right.request.priority - left.request.priority
@@ -284,7 +294,7 @@
       const generation = this.#waiting.shift();
       if (generation === undefined) return;
       const { messages, session } = generation.request;
-      const found = this.#cache.use(messages, session);
+      const found = this.#cache.lookUpAndCache(messages, session);
       generation.promptTokens = found.promptTokens;
       generation.cachedTokens = found.cachedTokens;
       const uncached = found.promptTokens - found.cachedTokens;
@@ -295,27 +305,27 @@
     }
   }
 
-  #retire(now: number): void {
+  #removeFinished(now: number): void {
     for (const generation of this.#running) {
       if (!generation.finished) continue;
       const { messages, session } = generation.request;
       const answer = { role: "assistant", content: generation.answer };
-      this.#cache.use([...messages, answer], session);
-      const tokens = generation.promptTokens + generation.generated;
-      this.#events.note(session, tokens, now);
+      this.#cache.lookUpAndCache([...messages, answer], session);
+      const tokens = generation.promptTokens + generation.completionTokens;
+      this.#events.add(session, tokens, now);
     }
     this.#running = this.#running.filter((known) =>
       !known.finished && !known.cancelled
     );
     for (const [id, generation] of this.#generations) {
-      if (now - generation.endedAt > KEEP_MILLISECONDS) {
+      if (now - generation.endedAt > FINISHED_RETENTION_MILLISECONDS) {
         this.#generations.delete(id);
       }
     }
   }
 
   #describeLoad(now: number): object {
-    const sample = this.#loads.find(now);
+    const sample = this.#loadSamples.find(now);
     return {
       models: this.models,
       step_milliseconds: this.#options.stepMilliseconds,
@@ -339,16 +349,20 @@
     return {};
   }
 
-  #takeOrder(request: Request, toolkit: ResponseToolkit): ResponseObject {
+  #executeOrder(request: Request, toolkit: ResponseToolkit): ResponseObject {
     const order = request.payload as EngineOrderBody;
     if (
-      this.#options.checksFencing && order.fencing_number < this.#highestFencing
+      this.#options.checksFencing &&
+      order.fencing_number < this.#highestFencingNumber
     ) {
       return toolkit.response({ error: "Fencing number is old" }).code(
         HTTP_CONFLICT,
       );
     }
-    this.#highestFencing = Math.max(this.#highestFencing, order.fencing_number);
+    this.#highestFencingNumber = Math.max(
+      this.#highestFencingNumber,
+      order.fencing_number,
+    );
     this.orders.push({ ...order, at: Date.now() });
     if (order.action === "load") this.#models.add(order.target);
     if (order.action === "unload") this.#models.delete(order.target);
--- a/packages/mocks/src/engine/load_samples.ts
+++ b/packages/mocks/src/engine/load_samples.ts
@@ -1,16 +1,20 @@
-/** Load of a fake engine as it stood some time ago. */
+/** Recent load of a fake engine, which is reported with a delay. */
 
-/** Time beyond the lag for which samples are kept, ms: a few steps. */
+/**
+ * Time beyond the lag for which samples are kept, ms. A few steps long, so that
+ * a sample older than the lag is always available.
+ */
 const MARGIN_MILLISECONDS = 100;
 
-/** Load at one moment. */
+/** Load at one point in time. */
 export interface LoadSample {
+  /** Time of the sample, ms since the epoch. */
   readonly at: number;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Samples that are young enough to be reported. */
+/** Keeps the samples that can still be reported. */
 export class LoadSamples {
   readonly #lagMilliseconds: number;
   readonly #samples: LoadSample[] = [];
@@ -19,7 +23,7 @@
     this.#lagMilliseconds = lagMilliseconds;
   }
 
-  /** Takes a sample. */
+  /** Adds a sample and drops those that are too old to be reported. */
   add(sample: LoadSample): void {
     this.#samples.push(sample);
     const oldest = sample.at - this.#lagMilliseconds - MARGIN_MILLISECONDS;
@@ -28,9 +32,9 @@
     }
   }
 
-  /** The sample that is reported now. */
+  /** Returns the newest sample that is at least as old as the lag. */
   find(now: number): LoadSample | undefined {
-    const until = now - this.#lagMilliseconds;
-    return this.#samples.findLast((known) => known.at <= until);
+    const newestReported = now - this.#lagMilliseconds;
+    return this.#samples.findLast((known) => known.at <= newestReported);
   }
 }
--- a/packages/mocks/src/engine/prefix_cache.ts
+++ b/packages/mocks/src/engine/prefix_cache.ts
@@ -1,4 +1,4 @@
-/** The fake engine's prefix cache: a tree of prompt messages in limited memory. */
+/** Prefix cache of the fake engine: a tree of prompt messages of limited size. */
 
 import { createHash } from "node:crypto";
 import type { ChatMessage } from "@mallowlift/core";
@@ -15,41 +15,41 @@
   usedAt: number;
 }
 
-/** One cached message, as engines hand it to each other. */
+/** One cached message, in the form that engines exchange. */
 export interface ExportedPrefix {
   readonly hash: string;
   readonly parent: string;
   readonly tokens: number;
 }
 
-/** How much of a prompt was found. */
+/** Size of a prompt and of its part that was in the cache. */
 export interface CacheLookup {
   readonly promptTokens: number;
   readonly cachedTokens: number;
 }
 
-/** Counts the tokens of one message as the fake engine does. */
+/** Returns the number of tokens that the fake engine counts for a message. */
 export function countTokens(message: ChatMessage): number {
   return 1 + Math.ceil(message.content.length / BYTES_PER_TOKEN);
 }
 
-/** Caches prompt prefixes, least recently used out first. */
+/** Caches prompt prefixes and evicts the least recently used one first. */
 export class PrefixCache {
   readonly #capacityTokens: number;
   readonly #nodes = new Map<string, CacheNode>();
   #tokens = 0;
-  #clock = 0;
+  #useCount = 0;
 
   constructor(capacityTokens: number) {
     this.#capacityTokens = capacityTokens;
   }
 
-  /** Tokens held. */
+  /** Tokens of all cached messages. */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** Programs that hold memory. */
+  /** Sessions that have cached messages, sorted. */
   get sessions(): readonly string[] {
     const sessions = new Set<string>();
     for (const node of this.#nodes.values()) {
@@ -58,8 +58,11 @@
     return [...sessions].sort();
   }
 
-  /** Looks a prompt up and keeps it for a session. */
-  use(messages: readonly ChatMessage[], session: string): CacheLookup {
+  /** Looks up a prompt, then caches all of it for a session. */
+  lookUpAndCache(
+    messages: readonly ChatMessage[],
+    session: string,
+  ): CacheLookup {
     let parent = ROOT_HASH;
     let promptTokens = 0;
     let cachedTokens = 0;
@@ -71,14 +74,14 @@
       isHit = isHit && known !== undefined;
       promptTokens += tokens;
       if (isHit) cachedTokens += tokens;
-      this.#keep({ hash, parent, tokens, session });
+      this.#cache({ hash, parent, tokens, session });
       parent = hash;
     }
     this.#evict();
     return { promptTokens, cachedTokens };
   }
 
-  /** Returns what a session holds, parents before children. */
+  /** Returns the cached messages of a session, parents before children. */
   exportSession(session: string): readonly ExportedPrefix[] {
     const exported: ExportedPrefix[] = [];
     for (const { hash, parent, tokens, sessions } of this.#nodes.values()) {
@@ -87,13 +90,13 @@
     return exported;
   }
 
-  /** Takes over what another engine has exported. */
+  /** Caches messages that another engine has exported. */
   importSession(session: string, exported: readonly ExportedPrefix[]): void {
-    for (const prefix of exported) this.#keep({ ...prefix, session });
+    for (const prefix of exported) this.#cache({ ...prefix, session });
     this.#evict();
   }
 
-  /** Frees what only this session holds. */
+  /** Frees the messages that no other session uses. */
   release(session: string): void {
     for (const node of [...this.#nodes.values()]) {
       node.sessions.delete(session);
@@ -103,7 +106,7 @@
     }
   }
 
-  #keep(
+  #cache(
     entry: {
       readonly hash: string;
       readonly parent: string;
@@ -112,7 +115,7 @@
     },
   ): void {
     const known = this.#nodes.get(entry.hash);
-    const usedAt = ++this.#clock;
+    const usedAt = ++this.#useCount;
     if (known !== undefined) {
       known.usedAt = usedAt;
       known.sessions.add(entry.session);
--- a/packages/mocks/src/engine/stream_generation.ts
+++ b/packages/mocks/src/engine/stream_generation.ts
@@ -1,39 +1,39 @@
-/** Writes a generation as server-sent events, with the faults of a test. */
+/** Writes a generation as server-sent events, and injects the faults of a test. */
 
 import { PassThrough } from "node:stream";
 import type { Generation } from "./engine_stream.ts";
 
-/** Event of the own stream after which a foreign one is sent. */
-const CROSS_AFTER_EVENTS = 2;
+/** Number of events of a stream before one of another stream is injected. */
+const FOREIGN_EVENT_AFTER_EVENTS = 2;
 
-/** Faults of a stream. */
+/** Faults that can be injected into streams. */
 export interface StreamFaults {
-  /** Breaks each stream off after so many events; 0 for never. */
+  /** Closes each stream after this many events; 0 for never. */
   breakAfterEvents: number;
   /** Sends each event twice. */
   duplicateEvents: boolean;
-  /** Sends one event of another stream into each stream. */
-  crossEvents: boolean;
+  /** Injects one event with another stream's id into each stream. */
+  injectForeignEvents: boolean;
 }
 
-/** Starts to write a generation from an offset of its text. */
+/** Returns a stream of a generation's text that starts at an offset. */
 export function streamGeneration(
   generation: Generation,
-  from: number,
+  startOffset: number,
   options: { readonly faults: StreamFaults },
 ): PassThrough {
   const { faults } = options;
   const output = new PassThrough();
   const id = generation.request.id;
-  let offset = from;
+  let offset = startOffset;
   let events = 0;
   const send = (event: object) => {
-    const times = faults.duplicateEvents ? 2 : 1;
-    for (let time = 0; time < times; time++) {
+    const copies = faults.duplicateEvents ? 2 : 1;
+    for (let copy = 0; copy < copies; copy++) {
       output.write(`data: ${JSON.stringify(event)}\n\n`);
     }
   };
-  const grow = () => {
+  const sendNewText = () => {
     if (output.destroyed || output.writableEnded) return;
     const text = generation.text.slice(offset);
     if (text !== "") {
@@ -41,21 +41,21 @@
       offset += text.length;
       events++;
     }
-    if (faults.crossEvents && events === CROSS_AFTER_EVENTS) {
+    if (faults.injectForeignEvents && events === FOREIGN_EVENT_AFTER_EVENTS) {
       send({ id: "other", offset: 0, text: "foreign" });
     }
-    const breaks = faults.breakAfterEvents;
-    if (breaks > 0 && events >= breaks) return void output.destroy();
+    const eventLimit = faults.breakAfterEvents;
+    if (eventLimit > 0 && events >= eventLimit) return void output.destroy();
     if (!generation.finished) return;
     send({ id, offset, text: "", ...describeEnd(generation) });
     output.write("data: [DONE]\n\n");
     output.end();
   };
-  generation.onGrowth = grow;
+  generation.onProgress = sendNewText;
   output.on("error", () => undefined);
   output.write(": started\n\n");
   const hasMore = generation.text.length > offset || generation.finished;
-  if (hasMore) setImmediate(grow);
+  if (hasMore) setImmediate(sendNewText);
   return output;
 }
 
@@ -65,7 +65,7 @@
     usage: {
       promptTokens: generation.promptTokens,
       cachedTokens: generation.cachedTokens,
-      completionTokens: generation.generated,
+      completionTokens: generation.completionTokens,
     },
   };
 }
--- a/packages/mocks/src/mod.ts
+++ b/packages/mocks/src/mod.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what is outside, and a proxy that injects faults. */
+/** Fake engines, services and upstreams for tests, and a fault-injecting proxy. */
 
 export * from "./engine/engine_stream.ts";
 export * from "./engine/fake_engine.ts";
--- a/packages/mocks/src/opaque/opaque_upstream.ts
+++ b/packages/mocks/src/opaque/opaque_upstream.ts
@@ -1,4 +1,4 @@
-/** An upstream that speaks the native dialect: it records what it ran. */
+/** A fake upstream for the native dialect, which records the requests it ran. */
 
 import { createHash } from "node:crypto";
 import { Buffer } from "node:buffer";
@@ -16,11 +16,11 @@
 const MISDIRECTED = 421;
 const FAILED = 500;
 const UNAVAILABLE = 503;
-/** Parts of the answer to a target with "large", and bytes of each. */
+/** Number and size in bytes of the parts of an answer to a "large" target. */
 const LARGE_PARTS = 20;
 const LARGE_PART_BYTES = 1_048_576;
-/** Each part is of one letter, from "a" on. */
-const FIRST_LETTER = 97;
+/** Character code of "a"; each part repeats one letter, starting with "a". */
+const FIRST_LETTER_CODE = 97;
 
 /** One request that the upstream ran. */
 export interface OpaqueRun {
@@ -31,27 +31,33 @@
   readonly headers: IncomingHttpHeaders;
 }
 
-/** Faults that a test can switch on. */
+/** Faults that a test can enable at run time. */
 export interface OpaqueFaults {
-  /** Says that it did not run the request. */
+  /** Answers 503 with `x-not-run`, without running the request. */
   isFull: boolean;
-  /** Runs the request and answers that it failed. */
+  /** Runs the request and answers 500. */
   fails: boolean;
-  /** Runs the request and closes without an answer. */
+  /** Runs the request and closes the connection without an answer. */
   losesAnswers: boolean;
-  /** Closes a stream after this many events; Infinity for never. */
+  /**
+   * Closes a stream after this many events, and a large answer after this many
+   * parts; Infinity for never.
+   */
   cutsAfter: number;
-  /** Time between two events, ms. */
+  /** Time between two events of a stream, ms. */
   pauseMilliseconds: number;
-  /** Time from a request to the head of its answer, ms. */
+  /** Time from a request to the headers of its answer, ms. */
   silentMilliseconds: number;
 }
 
-/** A fake upstream; streams where the path holds "stream". */
+/**
+ * A fake upstream. It answers with a stream if the path contains "stream", and
+ * with a body of 20 MiB if it contains "large".
+ */
 export class OpaqueUpstream {
   readonly id: string;
   readonly runs: OpaqueRun[] = [];
-  /** Calls whose connection closed before their answer was whole. */
+  /** Ids of calls whose connection closed before the answer was complete. */
   readonly left: string[] = [];
   readonly faults: OpaqueFaults = {
     isFull: false,
@@ -61,7 +67,7 @@
     pauseMilliseconds: 1,
     silentMilliseconds: 0,
   };
-  /** Events of each stream. */
+  /** Number of events in each stream. */
   events = 3;
   readonly #server: Server;
 
@@ -72,19 +78,19 @@
     );
   }
 
-  /** Address, host and port. */
+  /** Address in the form `host:port`. */
   get address(): string {
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Starts to serve. */
+  /** Starts the server. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) =>
       this.#server.listen(0, "127.0.0.1", () => resolve())
     );
   }
 
-  /** Stops at once. */
+  /** Stops and closes all connections. */
   stop(): void {
     this.#server.closeAllConnections();
     this.#server.close();
@@ -118,32 +124,32 @@
     if (this.faults.silentMilliseconds > 0) {
       await sleep(this.faults.silentMilliseconds);
     }
-    if (target.includes("large")) return await this.#answerLarge(response);
+    if (target.includes("large")) return await this.#sendLargeAnswer(response);
     const last = Number(request.headers["last-event-id"] ?? 0);
     if (target.includes("stream")) await this.#stream(body, response, last);
     else response.writeHead(OK).end(`ran ${callId}`);
   }
 
-  /** An answer of many mebibytes; cut after as many parts as the faults say. */
-  async #answerLarge(response: ServerResponse): Promise<void> {
+  /** Sends a large answer, or its first parts if `cutsAfter` is set. */
+  async #sendLargeAnswer(response: ServerResponse): Promise<void> {
     const size = LARGE_PARTS * LARGE_PART_BYTES;
     response.writeHead(OK, { "content-length": size });
     for (let part = 0; part < LARGE_PARTS; part++) {
       if (part >= this.faults.cutsAfter) return void response.destroy();
-      const bytes = Buffer.alloc(LARGE_PART_BYTES, FIRST_LETTER + part);
+      const bytes = Buffer.alloc(LARGE_PART_BYTES, FIRST_LETTER_CODE + part);
       await new Promise((resolve) => response.write(bytes, resolve));
     }
     response.end();
   }
 
-  /** Streams the events after the last one that the caller has. */
+  /** Streams the events after the last one that the caller has received. */
   async #stream(
     prompt: string,
     response: ServerResponse,
-    last: number,
+    lastReceivedEvent: number,
   ): Promise<void> {
     response.writeHead(OK, { "content-type": "text/event-stream" });
-    for (let event = last + 1; event <= this.events; event++) {
+    for (let event = lastReceivedEvent + 1; event <= this.events; event++) {
       if (event > this.faults.cutsAfter) {
         response.write(`id: ${event}\ndata: cut`);
         return void response.destroy();
@@ -157,13 +163,13 @@
   }
 }
 
-/** Data of an event; it follows from the whole prompt. */
+/** Returns the data of an event, which depends on the complete prompt. */
 export function describeEvent(prompt: string, event: number): string {
   const digest = createHash("sha256").update(prompt).digest("hex");
   return `${event}-${digest.slice(0, 8)}`;
 }
 
-/** What a history holds of a stream. */
+/** Returns the output that a history stores for a stream of this many events. */
 export function describeOutput(prompt: string, events: number): string {
   let output = "";
   for (let event = 1; event <= events; event++) {
--- a/packages/mocks/src/proxy/fault_proxy.ts
+++ b/packages/mocks/src/proxy/fault_proxy.ts
@@ -1,4 +1,4 @@
-/** A TCP proxy that injects faults between real processes. */
+/** A TCP proxy that injects network faults between real processes. */
 
 import {
   type AddressInfo,
@@ -10,46 +10,46 @@
 import type { Buffer } from "node:buffer";
 import { createDeferred, sleep } from "@mallowlift/core";
 
-/** What the proxy does to the connections through it. */
+/** Faults that the proxy applies to its connections. */
 export interface ProxyFaults {
-  /** Time that each piece is held back, each way. */
+  /** Delay of each chunk in each direction, ms. */
   delayMilliseconds: number;
-  /** Drops what clients send; the connection stays open. */
-  silentToServer: boolean;
-  /** Drops what servers send; the connection stays open. */
-  silentToClient: boolean;
-  /** Refuses new connections. */
+  /** Drops all bytes from clients, and keeps the connections open. */
+  dropToServer: boolean;
+  /** Drops all bytes from servers, and keeps the connections open. */
+  dropToClient: boolean;
+  /** Closes new connections at once. */
   refuse: boolean;
-  /** Bytes a second each way; 0 for no limit. */
+  /** Throughput limit in each direction, bytes per second; 0 for no limit. */
   bytesPerSecond: number;
 }
 
-interface Pair {
+interface ConnectionPair {
   readonly client: Socket;
   readonly server: Socket;
 }
 
-/** Where a proxy connects to. */
+/** Address that a proxy connects to. */
 export interface ProxyTarget {
   readonly host: string;
   readonly port: number;
 }
 
-/** Forwards one port to one address, which may change. */
+/** Forwards connections from one port to one address, which can change. */
 export class FaultProxy {
   readonly faults: ProxyFaults = {
     delayMilliseconds: 0,
-    silentToServer: false,
-    silentToClient: false,
+    dropToServer: false,
+    dropToClient: false,
     refuse: false,
     bytesPerSecond: 0,
   };
   #target: ProxyTarget | undefined;
   readonly #server: Server;
-  readonly #pairs = new Set<Pair>();
+  readonly #pairs = new Set<ConnectionPair>();
   #bytesFromClients = 0;
 
-  /** A proxy without a target yet refuses every connection. */
+  /** Creates a proxy, which refuses all connections until it has a target. */
   constructor(target?: ProxyTarget) {
     this.#target = target;
     this.#server = createServer((client) => this.#accept(client));
@@ -60,29 +60,29 @@
     return (this.#server.address() as AddressInfo).port;
   }
 
-  /** Bytes that clients have sent so far. */
+  /** Number of bytes that clients have sent so far, dropped ones included. */
   get bytesFromClients(): number {
     return this.#bytesFromClients;
   }
 
-  /** Address that clients connect to. */
+  /** Address that clients connect to, in the form `host:port`. */
   get address(): string {
     return `127.0.0.1:${this.port}`;
   }
 
-  /** Starts to listen. */
+  /** Starts to listen; port 0 selects a free port. */
   async start(port = 0): Promise<void> {
     const ready = createDeferred<void>();
     this.#server.listen(port, "127.0.0.1", () => ready.resolve(undefined));
     await ready.promise;
   }
 
-  /** Sends new connections to another address; undefined refuses them. */
+  /** Forwards new connections to another address; undefined refuses them. */
   retarget(target: ProxyTarget | undefined): void {
     this.#target = target;
   }
 
-  /** Stops and breaks all connections. */
+  /** Stops listening and closes all connections. */
   async stop(): Promise<void> {
     const closed = createDeferred<void>();
     this.#server.close(() => closed.resolve(undefined));
@@ -90,7 +90,7 @@
     await closed.promise;
   }
 
-  /** Breaks all connections. */
+  /** Closes all connections. */
   reset(): void {
     for (const pair of this.#pairs) {
       pair.client.destroy();
@@ -99,21 +99,22 @@
     this.#pairs.clear();
   }
 
-  /** Cuts both ways in silence. */
+  /** Drops all bytes in both directions, and keeps the connections open. */
   cut(): void {
-    this.faults.silentToClient = true;
-    this.faults.silentToServer = true;
+    this.faults.dropToClient = true;
+    this.faults.dropToServer = true;
   }
 
-  /** Ends all faults; connections that lost bytes are broken. */
+  /** Ends all faults, and closes all connections if bytes may have been lost. */
   heal(): void {
-    const lostBytes = this.faults.silentToClient || this.faults.silentToServer;
+    const mayHaveLostBytes = this.faults.dropToClient ||
+      this.faults.dropToServer;
     this.faults.delayMilliseconds = 0;
-    this.faults.silentToServer = false;
-    this.faults.silentToClient = false;
+    this.faults.dropToServer = false;
+    this.faults.dropToClient = false;
     this.faults.refuse = false;
     this.faults.bytesPerSecond = 0;
-    if (lostBytes) this.reset();
+    if (mayHaveLostBytes) this.reset();
   }
 
   #accept(client: Socket): void {
@@ -121,7 +122,7 @@
       return void client.destroy();
     }
     const server = connect(this.#target);
-    const pair: Pair = { client, server };
+    const pair: ConnectionPair = { client, server };
     this.#pairs.add(pair);
     const close = () => {
       this.#pairs.delete(pair);
@@ -137,24 +138,24 @@
       "data",
       (bytes: Buffer) => this.#bytesFromClients += bytes.length,
     );
-    this.#pipe(client, server, () => this.faults.silentToServer);
-    this.#pipe(server, client, () => this.faults.silentToClient);
+    this.#pipe(client, server, () => this.faults.dropToServer);
+    this.#pipe(server, client, () => this.faults.dropToClient);
   }
 
-  #pipe(from: Socket, to: Socket, isSilent: () => boolean): void {
+  #pipe(from: Socket, to: Socket, isDropping: () => boolean): void {
     let previous = Promise.resolve();
     from.on("data", (bytes: Buffer) => {
-      if (isSilent()) return;
+      if (isDropping()) return;
       const { delayMilliseconds, bytesPerSecond } = this.faults;
       if (delayMilliseconds === 0 && bytesPerSecond === 0) {
         void previous.then(() => to.write(bytes));
         return;
       }
-      const arrival = sleep(delayMilliseconds);
-      // Bytes of one connection keep their order, and the next piece can only
-      // be sent once a slow way has taken this one.
+      const delayEnd = sleep(delayMilliseconds);
+      // The chunks of a connection keep their order, and each one waits until
+      // the throughput limit has let the previous one pass.
       previous = previous.then(async () => {
-        await arrival;
+        await delayEnd;
         if (bytesPerSecond > 0) {
           await sleep((bytes.length / bytesPerSecond) * 1_000);
         }
--- a/packages/mocks/src/service/fake_service.ts
+++ b/packages/mocks/src/service/fake_service.ts
@@ -1,25 +1,27 @@
-/** A plain service in small: it counts what it ran. */
+/** A fake service over HTTP, which records the operations it ran. */
 
 import { type Request, type ResponseToolkit, Server } from "@hapi/hapi";
 import { sleep } from "@mallowlift/core";
 
-/** One operation that the service carried out. */
+/** One operation that the service ran. */
 export interface ServiceRun {
+  /** Idempotency key of the call. */
   readonly key: string;
   readonly operation: string;
   readonly payload: unknown;
+  /** Time of the run, ms since the epoch. */
   readonly at: number;
 }
 
-/** Faults that a test can switch on. */
+/** Faults that a test can enable at run time. */
 export interface ServiceFaults {
-  /** Time that each operation takes. */
+  /** Duration of each operation, ms. */
   delayMilliseconds: number;
-  /** Runs the operation, then closes the connection without an answer. */
+  /** Runs the operation and closes the connection without an answer. */
   dropAnswers: boolean;
 }
 
-/** A fake service. */
+/** A fake service that listens on HTTP. */
 export class FakeService {
   readonly runs: ServiceRun[] = [];
   readonly faults: ServiceFaults = { delayMilliseconds: 2, dropAnswers: false };
@@ -42,22 +44,22 @@
     ]);
   }
 
-  /** HTTP address. */
+  /** Base URL. */
   get url(): string {
     return this.#server.info.uri;
   }
 
-  /** How often the operation of a call ran. */
+  /** Returns how often the operation with an idempotency key ran. */
   countRuns(key: string): number {
     return this.runs.filter((run) => run.key === key).length;
   }
 
-  /** Starts to serve. */
+  /** Starts the server. */
   async start(): Promise<void> {
     await this.#server.start();
   }
 
-  /** Stops at once. */
+  /** Stops without waiting for open requests. */
   async stop(): Promise<void> {
     await this.#server.stop({ timeout: 0 });
   }
