--- a/packages/mocks/src/engine/fake_engine.ts
+++ b/packages/mocks/src/engine/fake_engine.ts
@@ -12,7 +12,7 @@
 } from "@hapi/hapi";
 import { ABORTED, sleep } from "@mallowlift/core";
 import { CacheEvents } from "./cache_events.ts";
-import { Generation, type GenerationRequest } from "./engine_stream.ts";
+import { Generation, type GenerationRequest } from "./generation.ts";
 import { LoadSamples } from "./load_samples.ts";
 import { type ExportedPrefix, PrefixCache } from "./prefix_cache.ts";
 import { type StreamFaults, streamGeneration } from "./stream_generation.ts";
--- a/packages/mocks/src/engine/stream_generation.ts
+++ b/packages/mocks/src/engine/stream_generation.ts
@@ -1,7 +1,7 @@
 /** Writes a generation as server-sent events, and injects the faults of a test. */
 
 import { PassThrough } from "node:stream";
-import type { Generation } from "./engine_stream.ts";
+import type { Generation } from "./generation.ts";
 
 /** Number of events of a stream before one of another stream is injected. */
 const FOREIGN_EVENT_AFTER_EVENTS = 2;
--- a/packages/mocks/src/mod.ts
+++ b/packages/mocks/src/mod.ts
@@ -1,6 +1,6 @@
 /** Fake engines, services and upstreams for tests, and a fault-injecting proxy. */
 
-export * from "./engine/engine_stream.ts";
+export * from "./engine/generation.ts";
 export * from "./engine/fake_engine.ts";
 export * from "./engine/prefix_cache.ts";
 export * from "./proxy/fault_proxy.ts";
