--- a/packages/bench/src/gateway_soak/document_operator.ts
+++ b/packages/bench/src/gateway_soak/document_operator.ts
@@ -1,4 +1,7 @@
-/** Two operators who replace the document, resend, and read it back. */
+/**
+ * Two operators that replace the routing document concurrently, repeat some
+ * requests, and read the document back.
+ */
 
 import { performance } from "node:perf_hooks";
 import { type RoutingDocument, sleep } from "@mallowlift/core";
@@ -6,17 +9,17 @@
 import { addRoutes, TEST_DOCUMENT } from "../gateways/test_document.ts";
 import type { Random } from "../soak/random.ts";
 import { type CallerRecords, PROMISES } from "./caller_records.ts";
-import { addWorkspaces, FIRST_DOCUMENT } from "./soak_workspaces.ts";
+import { addWorkspaces, INITIAL_DOCUMENT } from "./soak_workspaces.ts";
 
-/** Every so many versions one is large. */
-const LARGE_EVERY = 5;
-/** Routes that a large document has more: what one change of a site has added. */
-const LARGE_ROUTES = 1_400;
+/** Every n-th version is a large document, for this n. */
+const LARGE_DOCUMENT_INTERVAL = 5;
+/** Routes added to a large document; one change of a site has added this many. */
+const ADDED_ROUTES = 1_400;
 const PAUSE_MILLISECONDS = 400;
-/** Longest wait for an answer, ms. */
-const ANSWER_MILLISECONDS = 2_000;
+/** Timeout of a request, ms. */
+const ANSWER_TIMEOUT_MILLISECONDS = 2_000;
 
-/** What the operators work with. */
+/** Options of {@linkcode DocumentOperators}. */
 export interface DocumentOperatorOptions {
   readonly site: GatewaySite;
   readonly random: Random;
@@ -24,20 +27,20 @@
   readonly isOver: () => boolean;
 }
 
-/** Races documents of rising versions against each other. */
+/** Sends pairs of documents with increasing versions concurrently. */
 export class DocumentOperators {
   readonly #options: DocumentOperatorOptions;
-  /** Content of every document that was sent, by version. */
+  /** Text of each document that was sent, by version. */
   readonly #sent = new Map<number, string>();
-  #version = FIRST_DOCUMENT.version;
+  #version = INITIAL_DOCUMENT.version;
   #acknowledged = 0;
 
   constructor(options: DocumentOperatorOptions) {
     this.#options = options;
-    this.#sent.set(this.#version, JSON.stringify(FIRST_DOCUMENT));
+    this.#sent.set(this.#version, JSON.stringify(INITIAL_DOCUMENT));
   }
 
-  /** Newest version that was sent. */
+  /** Newest version that has been sent. */
   get version(): number {
     return this.#version;
   }
@@ -52,23 +55,26 @@
     }
   }
 
-  /** Reads the document back; returns false if no gateway told it. */
+  /** Reads the document and checks it; returns false if there is no answer. */
   async check(): Promise<boolean> {
     const { records } = this.#options;
-    const least = this.#acknowledged;
+    const leastVersion = this.#acknowledged;
     const answer = await this.#send("GET", undefined);
     if (answer === undefined) return false;
     const { version } = JSON.parse(answer) as { readonly version: number };
-    if (version < least) {
-      records.violate(PROMISES.DOCUMENT, `read ${version} after ${least}`);
+    if (version < leastVersion) {
+      records.addViolation(
+        PROMISES.DOCUMENT,
+        `read ${version} after ${leastVersion}`,
+      );
     }
     if (this.#sent.get(version) !== answer) {
-      records.violate(PROMISES.DOCUMENT, `version ${version} has changed`);
+      records.addViolation(PROMISES.DOCUMENT, `version ${version} has changed`);
     }
     return true;
   }
 
-  /** Sends a document, sometimes twice; an answer may be lost. */
+  /** Sends a document, sometimes twice; the answer may be lost. */
   async #replace(version: number): Promise<void> {
     const { random, records } = this.#options;
     const text = JSON.stringify(createDocument(version));
@@ -77,12 +83,12 @@
     for (let round = 0; round < rounds; round++) {
       if (await this.#send("PUT", text) === undefined) continue;
       this.#acknowledged = Math.max(this.#acknowledged, version);
-      records.noteAcknowledged(version, performance.now());
+      records.addAcknowledged(version, performance.now());
       records.count("documents acknowledged");
     }
   }
 
-  /** Returns the body of a success; undefined after anything else. */
+  /** Returns the body of a successful answer, or undefined otherwise. */
   async #send(
     method: "GET" | "PUT",
     body: string | undefined,
@@ -93,26 +99,26 @@
       const answer = await fetch(`${gateway.operatorsUrl}/v1/routing`, {
         method,
         body: body ?? null,
-        signal: AbortSignal.timeout(ANSWER_MILLISECONDS),
+        signal: AbortSignal.timeout(ANSWER_TIMEOUT_MILLISECONDS),
       });
       const text = await answer.text();
       return answer.ok ? text : undefined;
     } catch {
-      // A gateway that is down or cut off is part of the soak.
+      // The soak stops gateways and cuts their connections, so this is expected.
       records.count("orders without an answer");
       return undefined;
     }
   }
 }
 
-/** A document whose content differs from all others, and sometimes its size. */
+/** Creates the document of a version, which differs from all other versions. */
 function createDocument(version: number): RoutingDocument {
   const routes = TEST_DOCUMENT.routes.map((route) => ({
     ...route,
     targetMilliseconds: 200 + version,
   }));
   const document = addWorkspaces({ ...TEST_DOCUMENT, version, routes });
-  return version % LARGE_EVERY === 0
-    ? addRoutes(document, LARGE_ROUTES)
+  return version % LARGE_DOCUMENT_INTERVAL === 0
+    ? addRoutes(document, ADDED_ROUTES)
     : document;
 }
--- a/packages/bench/src/gateway_soak/gateway_faults.ts
+++ b/packages/bench/src/gateway_soak/gateway_faults.ts
@@ -1,4 +1,4 @@
-/** Faults for a site of gateways, in series that overlap. */
+/** Faults of a gateway soak, injected in several concurrent series. */
 
 import { appendFileSync, readdirSync } from "node:fs";
 import { join } from "node:path";
@@ -9,242 +9,266 @@
 import { type CallerRecords, PROMISES } from "./caller_records.ts";
 import type { SoakSite } from "./soak_site.ts";
 
-/** Pause between two faults of one series, ms. */
-const PAUSE = { least: 200, most: 1_200 };
-/** How long a fault lasts, ms. */
-const LENGTH = { least: 200, most: 4_000 };
-/** Longest wait for a store whose disk was lost to count again, ms. */
+/** Range of the pause between two faults of one series, ms. */
+const PAUSE_MILLISECONDS = { least: 200, most: 1_200 };
+/** Range of the duration of a fault, ms. */
+const DURATION_MILLISECONDS = { least: 200, most: 4_000 };
+/** Longest wait for a store to be ready again after it lost its disk, ms. */
 const REPAIR_MILLISECONDS = 60_000;
 
-/** Longest wait for the first word of a process, ms. */
-const HEARD_MILLISECONDS = 10_000;
+/** Longest wait for the first answer of a process about its health, ms. */
+const HEALTH_ANSWER_MILLISECONDS = 10_000;
 
-interface FaultParts extends SoakSite {
+interface FaultContext extends SoakSite {
   readonly random: Random;
   readonly records: CallerRecords;
   readonly locks: FaultLocks;
-  /** Waits, but no longer than the soak lasts. */
-  readonly rest: (milliseconds: number) => Promise<void>;
+  /** Sleeps for a time in ms, or until the soak is over if that is earlier. */
+  readonly sleep: (milliseconds: number) => Promise<void>;
 }
 
-/** What at most one series may do at a time. */
+/** State that keeps concurrent series from conflicting faults. */
 export class FaultLocks {
-  /** Daemons that another fault works on. */
-  readonly busy = new Set<string>();
-  /** True while a lost disk has not been repaired: one is to be borne. */
+  /** Names of the daemons that a fault is being injected into. */
+  readonly busyDaemons = new Set<string>();
+  /**
+   * True while a store with a lost disk is being repaired. The stores only need
+   * to tolerate one lost disk at a time.
+   */
   isDiskLost = false;
 }
 
-type Fault = (parts: FaultParts) => Promise<void>;
+type Fault = (context: FaultContext) => Promise<void>;
 
-/** Every kind of fault, by name. */
+/** All faults, by name. */
 export const GATEWAY_FAULTS: Readonly<Record<string, Fault>> = {
-  "kill a gateway": (parts) => withGateway(parts, killAndStart),
-  "kill a store": (parts) => withStore(parts, killAndStart),
+  "kill a gateway": (context) => withGateway(context, killAndRestart),
+  "kill a store": (context) => withStore(context, killAndRestart),
   "kill all stores": killAllStores,
-  "freeze a gateway": (parts) => withGateway(parts, freeze),
-  "freeze a store": (parts) => withStore(parts, freeze),
-  "stop a gateway as planned": (parts) => withGateway(parts, stopAsPlanned),
-  "stop a store as planned": (parts) => withStore(parts, stopAsPlanned),
+  "freeze a gateway": (context) => withGateway(context, freeze),
+  "freeze a store": (context) => withStore(context, freeze),
+  "stop a gateway as planned": (context) => withGateway(context, stopAsPlanned),
+  "stop a store as planned": (context) => withStore(context, stopAsPlanned),
   "lose a disk": loseDisk,
-  "tear the end of a log": (parts) => withStore(parts, tearLog),
-  "cut in silence": (parts) => withProxy(parts, (proxy) => proxy.cut()),
-  "cut one way": (parts) =>
-    withProxy(parts, ({ faults }) => {
-      if (parts.random.happens(50)) faults.dropToClient = true;
+  "tear the end of a log": (context) => withStore(context, appendTornRecord),
+  "cut in silence": (context) => withProxy(context, (proxy) => proxy.cut()),
+  "cut one way": (context) =>
+    withProxy(context, ({ faults }) => {
+      if (context.random.happens(50)) faults.dropToClient = true;
       else faults.dropToServer = true;
     }),
-  "delay": (parts) =>
-    withProxy(parts, ({ faults }) => {
-      faults.delayMilliseconds = parts.random.between(5, 300);
+  "delay": (context) =>
+    withProxy(context, ({ faults }) => {
+      faults.delayMilliseconds = context.random.between(5, 300);
     }),
-  "refuse connections": (parts) =>
-    withProxy(parts, (proxy) => {
+  "refuse connections": (context) =>
+    withProxy(context, (proxy) => {
       proxy.faults.refuse = true;
       proxy.reset();
     }),
-  "reset connections": (parts) => {
-    for (const proxy of parts.site.proxies.values()) {
-      if (parts.random.happens(50)) proxy.reset();
+  "reset connections": (context) => {
+    for (const proxy of context.site.proxies.values()) {
+      if (context.random.happens(50)) proxy.reset();
     }
     return Promise.resolve();
   },
-  "fill an upstream": (parts) =>
-    withUpstream(parts, (faults, on) => faults.isFull = on),
-  "lose answers": (parts) =>
-    withUpstream(parts, (faults, on) => faults.losesAnswers = on),
-  "cut streams": (parts) =>
+  "fill an upstream": (context) =>
+    withUpstream(context, (faults, isOn) => faults.isFull = isOn),
+  "lose answers": (context) =>
+    withUpstream(context, (faults, isOn) => faults.losesAnswers = isOn),
+  "cut streams": (context) =>
     withUpstream(
-      parts,
-      (faults, on) =>
-        faults.cutsAfter = on ? parts.random.between(0, 2) : Infinity,
+      context,
+      (faults, isOn) =>
+        faults.cutsAfter = isOn ? context.random.between(0, 2) : Infinity,
     ),
-  "slow streams": (parts) =>
+  "slow streams": (context) =>
     withUpstream(
-      parts,
-      (faults, on) => faults.pauseMilliseconds = on ? 150 : 1,
+      context,
+      (faults, isOn) => faults.pauseMilliseconds = isOn ? 150 : 1,
     ),
-  "list an upstream as leaving": async (parts) => {
-    const { id } = parts.random.choose(parts.upstreams);
-    parts.site.listUpstreams([id]);
-    await rest(parts);
-    parts.site.listUpstreams();
+  "list an upstream as leaving": async (context) => {
+    const { id } = context.random.choose(context.upstreams);
+    context.site.listUpstreams([id]);
+    await sleepForFault(context);
+    context.site.listUpstreams();
   },
 };
 
-/** Injects one series of faults until the soak is over. */
-export async function injectSeries(
-  parts: FaultParts & {
+/** Injects faults one after the other until the soak is over. */
+export async function injectFaultSeries(
+  context: FaultContext & {
     readonly isOver: () => boolean;
     readonly print: (line: string) => void;
   },
 ): Promise<void> {
-  const { random, records, isOver, print } = parts;
+  const { random, records, isOver, print } = context;
   while (!isOver()) {
-    await parts.rest(random.between(PAUSE.least, PAUSE.most));
+    await context.sleep(
+      random.between(PAUSE_MILLISECONDS.least, PAUSE_MILLISECONDS.most),
+    );
     if (isOver()) return;
     const name = random.choose(Object.keys(GATEWAY_FAULTS));
     records.count(`fault: ${name}`);
     print(name);
-    await GATEWAY_FAULTS[name]?.(parts);
+    await GATEWAY_FAULTS[name]?.(context);
   }
 }
 
-async function rest(parts: FaultParts): Promise<void> {
-  await parts.rest(parts.random.between(LENGTH.least, LENGTH.most));
+async function sleepForFault(context: FaultContext): Promise<void> {
+  await context.sleep(
+    context.random.between(
+      DURATION_MILLISECONDS.least,
+      DURATION_MILLISECONDS.most,
+    ),
+  );
 }
 
-type DaemonFault = (daemon: SiteDaemon, parts: FaultParts) => Promise<void>;
+type DaemonFault = (daemon: SiteDaemon, context: FaultContext) => Promise<void>;
 
 async function withGateway(
-  parts: FaultParts,
+  context: FaultContext,
   fault: DaemonFault,
 ): Promise<void> {
-  await withOne(parts, parts.site.gateways, fault);
+  await withFreeDaemon(context, context.site.gateways, fault);
 }
 
 async function withStore(
-  parts: FaultParts,
+  context: FaultContext,
   fault: DaemonFault,
 ): Promise<void> {
-  await withOne(parts, parts.site.stores, fault);
+  await withFreeDaemon(context, context.site.stores, fault);
 }
 
-/** Works on a daemon that no other fault works on. */
-async function withOne(
-  parts: FaultParts,
+/** Injects a fault into a random daemon, unless another fault is using it. */
+async function withFreeDaemon(
+  context: FaultContext,
   daemons: readonly SiteDaemon[],
   fault: DaemonFault,
 ): Promise<void> {
-  const { busy } = parts.locks;
-  const daemon = parts.random.choose(daemons);
-  if (busy.has(daemon.name)) return;
-  busy.add(daemon.name);
+  const { busyDaemons } = context.locks;
+  const daemon = context.random.choose(daemons);
+  if (busyDaemons.has(daemon.name)) return;
+  busyDaemons.add(daemon.name);
   try {
-    await fault(daemon, parts);
+    await fault(daemon, context);
   } finally {
-    busy.delete(daemon.name);
+    busyDaemons.delete(daemon.name);
   }
 }
 
-async function killAndStart(
+async function killAndRestart(
   daemon: SiteDaemon,
-  parts: FaultParts,
+  context: FaultContext,
 ): Promise<void> {
-  await parts.site.kill(daemon);
-  if (parts.random.happens(50)) await rest(parts);
-  parts.site.restart(daemon);
+  await context.site.kill(daemon);
+  if (context.random.happens(50)) await sleepForFault(context);
+  context.site.restart(daemon);
 }
 
-async function killAllStores(parts: FaultParts): Promise<void> {
-  const { busy } = parts.locks;
-  const stores = parts.site.stores.filter(({ name }) => !busy.has(name));
-  for (const { name } of stores) busy.add(name);
-  for (const store of stores) await parts.site.kill(store);
-  await rest(parts);
+async function killAllStores(context: FaultContext): Promise<void> {
+  const { busyDaemons } = context.locks;
+  const stores = context.site.stores.filter(({ name }) =>
+    !busyDaemons.has(name)
+  );
+  for (const { name } of stores) busyDaemons.add(name);
+  for (const store of stores) await context.site.kill(store);
+  await sleepForFault(context);
   for (const store of stores) {
-    parts.site.restart(store);
-    busy.delete(store.name);
+    context.site.restart(store);
+    busyDaemons.delete(store.name);
   }
 }
 
-async function freeze(daemon: SiteDaemon, parts: FaultParts): Promise<void> {
+async function freeze(
+  daemon: SiteDaemon,
+  context: FaultContext,
+): Promise<void> {
   daemon.process.signal("SIGSTOP");
-  await rest(parts);
+  await sleepForFault(context);
   daemon.process.signal("SIGCONT");
 }
 
 async function stopAsPlanned(
   daemon: SiteDaemon,
-  parts: FaultParts,
+  context: FaultContext,
 ): Promise<void> {
-  // Nobody can hear an order before the process has taken its first steps.
-  await parts.site.waitUntilHeard(daemon, HEARD_MILLISECONDS);
+  // A process cannot handle the stop signal before it has started.
+  await context.site.waitUntilHeard(daemon, HEALTH_ANSWER_MILLISECONDS);
   const code = await daemon.process.stop();
   if (code !== 0) {
-    parts.records.violate(PROMISES.STOP, `${daemon.name} ended with ${code}`);
+    context.records.addViolation(
+      PROMISES.CLEAN_STOP,
+      `${daemon.name} ended with ${code}`,
+    );
   }
-  parts.site.restart(daemon);
+  context.site.restart(daemon);
 }
 
-/** Loses a disk; the next one only after the store counts again. */
-async function loseDisk(parts: FaultParts): Promise<void> {
-  const { locks, site, records } = parts;
+/** Deletes a store's disk, and waits until the store is ready again. */
+async function loseDisk(context: FaultContext): Promise<void> {
+  const { locks, site, records } = context;
   if (locks.isDiskLost) return;
   locks.isDiskLost = true;
-  await withStore(parts, async (store) => {
+  await withStore(context, async (store) => {
     await site.kill(store, true);
-    if (parts.random.happens(50)) await rest(parts);
+    if (context.random.happens(50)) await sleepForFault(context);
     site.restart(store);
     const repaired = await site.waitUntilCounts(store, REPAIR_MILLISECONDS);
     if (!repaired) {
-      records.violate(PROMISES.SERVED, `${store.name} did not join again`);
+      records.addViolation(
+        PROMISES.SERVED_AGAIN,
+        `${store.name} did not join again`,
+      );
     }
   });
   locks.isDiskLost = false;
 }
 
-/** Leaves a part of a record behind, as power lost amid a write does. */
-async function tearLog(store: SiteDaemon, parts: FaultParts): Promise<void> {
-  await parts.site.kill(store);
+/** Appends a torn record to a log, as a power loss during a write leaves it. */
+async function appendTornRecord(
+  store: SiteDaemon,
+  context: FaultContext,
+): Promise<void> {
+  await context.site.kill(store);
   const newest = readdirSync(store.dataFolder).filter((name) =>
     name.startsWith("log-")
   ).sort().at(-1);
   if (newest !== undefined) {
     const torn = Uint8Array.from(
-      { length: parts.random.between(1, 60) },
-      () => parts.random.between(0, 255),
+      { length: context.random.between(1, 60) },
+      () => context.random.between(0, 255),
     );
     appendFileSync(join(store.dataFolder, newest), torn);
   }
-  parts.site.restart(store);
+  context.site.restart(store);
 }
 
 async function withProxy(
-  parts: FaultParts,
+  context: FaultContext,
   fault: (proxy: FaultProxy) => void,
 ): Promise<void> {
-  const [name, proxy] = parts.random.choose([...parts.site.proxies]);
-  if (parts.locks.busy.has(name)) return;
+  const [name, proxy] = context.random.choose([...context.site.proxies]);
+  if (context.locks.busyDaemons.has(name)) return;
   fault(proxy);
-  await rest(parts);
+  await sleepForFault(context);
   proxy.heal();
 }
 
 type UpstreamFaults = SoakSite["upstreams"][number]["faults"];
 
 async function withUpstream(
-  parts: FaultParts,
-  change: (faults: UpstreamFaults, isOn: boolean) => void,
+  context: FaultContext,
+  setFault: (faults: UpstreamFaults, isOn: boolean) => void,
 ): Promise<void> {
-  const { faults } = parts.random.choose(parts.upstreams);
-  change(faults, true);
-  await rest(parts);
-  change(faults, false);
+  const { faults } = context.random.choose(context.upstreams);
+  setFault(faults, true);
+  await sleepForFault(context);
+  setFault(faults, false);
 }
 
-/** Sleeps until the time is over or the soak is, whichever comes first. */
-export async function restAtMost(
+/** Sleeps for a time in ms, or until the soak is over if that is earlier. */
+export async function sleepUnlessOver(
   milliseconds: number,
   isOver: () => boolean,
 ): Promise<void> {
--- a/packages/bench/src/gateway_soak/gateway_soak.ts
+++ b/packages/bench/src/gateway_soak/gateway_soak.ts
@@ -5,7 +5,7 @@
 import { readNumber } from "@mallowlift/cli";
 import { Command } from "commander";
 import { runGatewaySoak } from "./run_gateway_soak.ts";
-import { USUAL_SIZE } from "./soak_site.ts";
+import { DEFAULT_SIZE } from "./soak_site.ts";
 
 const MAX_SEED = 2 ** 21;
 
@@ -25,13 +25,13 @@
       "--gateways <number>",
       "gateways",
       numberOption(1, 100),
-      USUAL_SIZE.gateways,
+      DEFAULT_SIZE.gateways,
     )
     .option(
       "--stores <number>",
       "stores",
       numberOption(3, 100),
-      USUAL_SIZE.stores,
+      DEFAULT_SIZE.stores,
     )
     .parse()
     .opts<
@@ -40,14 +40,14 @@
         number
       >
     >();
-  let held = true;
+  let allHeld = true;
   for (let seed = options.seed; seed < options.seed + options.seeds; seed++) {
-    held = await soak(seed, options) && held;
+    allHeld = await runSeed(seed, options) && allHeld;
   }
-  return held;
+  return allHeld;
 }
 
-async function soak(
+async function runSeed(
   seed: number,
   options: {
     readonly seconds: number;
@@ -61,14 +61,14 @@
     seed,
     seconds: options.seconds,
     callers: options.callers,
-    size: { ...USUAL_SIZE, gateways, stores },
+    size: { ...DEFAULT_SIZE, gateways, stores },
     folder: resolve(".site", `gateway-soak-${seed}`),
     print: () => undefined,
   });
-  const faults = [...result.counts].filter(([name]) =>
+  const faultCounts = [...result.counts].filter(([name]) =>
     name.startsWith("fault: ")
   );
-  const faultCount = faults.reduce((sum, [, count]) => sum + count, 0);
+  const faultCount = faultCounts.reduce((sum, [, count]) => sum + count, 0);
   print(
     `Seed ${seed}: ${result.calls} calls, ${faultCount} faults, ` +
       `${result.broken.length} promises broken`,
@@ -84,7 +84,7 @@
 
 if (require.main === module) {
   for (const signal of ["SIGINT", "SIGTERM"] as const) {
-    // The processes of the site end with this one.
+    // The child processes of the site exit together with this process.
     process.once(signal, () => process.exit(1));
   }
   main().then((held) => process.exit(held ? 0 : 1), (thrown) => {
--- a/packages/bench/src/gateway_soak/gateway_soak_test.ts
+++ b/packages/bench/src/gateway_soak/gateway_soak_test.ts
@@ -1,15 +1,18 @@
 import { test } from "tap";
 import { runGatewaySoak } from "./run_gateway_soak.ts";
-import { USUAL_SIZE } from "./soak_site.ts";
+import { DEFAULT_SIZE } from "./soak_site.ts";
 
 const SECONDS = 10;
 const CALLERS = 8;
 
-/** Seeds that once failed, each with its cause; they stay. */
+/** Regression seeds, each with the fault that made it fail; do not remove any. */
 const SEEDS = [
   { seed: 1, cause: "a spare store that had lost its disk was never healthy" },
-  { seed: 106, cause: "a store that came back was sent no more entries" },
-  { seed: 111, cause: "the same, after another fault" },
+  { seed: 106, cause: "a restarted store received no more entries" },
+  {
+    seed: 111,
+    cause: "a restarted store received no more entries after another fault",
+  },
 ];
 
 for (const { seed, cause } of SEEDS) {
@@ -18,7 +21,7 @@
       seed,
       seconds: SECONDS,
       callers: CALLERS,
-      size: USUAL_SIZE,
+      size: DEFAULT_SIZE,
       folder: t.testdir(),
       print: () => undefined,
     });
--- a/packages/bench/src/gateway_soak/guest_caller.ts
+++ b/packages/bench/src/gateway_soak/guest_caller.ts
@@ -1,52 +1,54 @@
-/** A caller that floods with keys that come and go. */
+/** A caller that exceeds its workspace's quota, with keys that are replaced. */
 
 import { performance } from "node:perf_hooks";
 import { sleep } from "@mallowlift/core";
 import { callGateway } from "../gateways/gateway_caller.ts";
 import type { ProgramCallerOptions } from "./program_caller.ts";
-import { findGuestKey, GUEST } from "./soak_workspaces.ts";
+import { composeGuestKey, GUEST_WORKSPACE } from "./soak_workspaces.ts";
 
-/** Versions back to which a key may be out of date. */
-const OLDEST_KEY = 8;
-/** Pause between two requests, ms: several times the quota. */
+/** How many document versions old a used key can be. */
+const MAX_KEY_AGE_VERSIONS = 8;
+/** Pause between two requests, ms; the resulting rate is several times the quota. */
 const PAUSE_MILLISECONDS = 15;
-const ANSWER_MILLISECONDS = 10_000;
+const ANSWER_TIMEOUT_MILLISECONDS = 10_000;
 
-/** What a guest works with. */
+/** Options of {@linkcode GuestCaller}. */
 export interface GuestCallerOptions extends ProgramCallerOptions {
-  /** Newest version that was sent. */
+  /** Returns the newest document version that has been sent. */
   readonly getVersion: () => number;
 }
 
-/** Sends requests without waiting for their answers. */
+/** Sends requests at a fixed rate, without waiting for their answers. */
 export class GuestCaller {
   readonly #options: GuestCallerOptions;
-  readonly #open = new Set<Promise<void>>();
-  #call = 0;
+  readonly #pending = new Set<Promise<void>>();
+  #callCount = 0;
 
   constructor(options: GuestCallerOptions) {
     this.#options = options;
   }
 
-  /** Runs until the soak is over and all answers are there. */
+  /** Runs until the soak is over and all requests have ended. */
   async run(): Promise<void> {
     while (!this.#options.isOver()) {
-      const asked = this.#ask().finally(() => this.#open.delete(asked));
-      this.#open.add(asked);
+      const request = this.#sendRequest().finally(() =>
+        this.#pending.delete(request)
+      );
+      this.#pending.add(request);
       await sleep(PAUSE_MILLISECONDS);
     }
-    await Promise.all(this.#open);
+    await Promise.all(this.#pending);
   }
 
-  async #ask(): Promise<void> {
+  async #sendRequest(): Promise<void> {
     const { name, site, random, records, getVersion } = this.#options;
-    const callId = `${name}-g${++this.#call}`;
-    const version = getVersion() - random.between(0, OLDEST_KEY);
+    const callId = `${name}-g${++this.#callCount}`;
+    const version = getVersion() - random.between(0, MAX_KEY_AGE_VERSIONS);
     const sent = {
       callId,
       mayRepeat: true,
       prompt: callId,
-      workspace: GUEST,
+      workspace: GUEST_WORKSPACE,
       keyVersion: version,
       sentAt: performance.now(),
       seen: undefined,
@@ -58,9 +60,9 @@
       body: callId,
       headers: {
         "x-patience-ms": "4000",
-        authorization: `Bearer ${findGuestKey(version)}`,
+        authorization: `Bearer ${composeGuestKey(version)}`,
       },
-      signal: AbortSignal.timeout(ANSWER_MILLISECONDS),
+      signal: AbortSignal.timeout(ANSWER_TIMEOUT_MILLISECONDS),
     });
     Object.assign(sent, { seen });
     records.count(`guest status ${seen.status}`);
--- a/packages/bench/src/gateway_soak/program_caller.ts
+++ b/packages/bench/src/gateway_soak/program_caller.ts
@@ -1,4 +1,7 @@
-/** A caller whose programs grow, fork, call tools, and leave midway. */
+/**
+ * A caller that runs programs: they continue turns, branch off earlier turns,
+ * call tools, and sometimes disconnect during a turn.
+ */
 
 import { sleep } from "@mallowlift/core";
 import { describeEvent, describeOutput } from "@mallowlift/mocks";
@@ -6,24 +9,25 @@
 import type { GatewaySite } from "../gateways/gateway_site.ts";
 import type { Random } from "../soak/random.ts";
 import { type CallerRecords, PROMISES } from "./caller_records.ts";
-import { HOME } from "./soak_workspaces.ts";
+import { HOME_WORKSPACE } from "./soak_workspaces.ts";
 
-/** Events of each turn, as the upstreams make them. */
-export const EVENTS = 3;
-/** Tokens of an event, as the document says. */
+/** Number of events in each turn; the upstreams send the same number. */
+export const EVENTS_PER_TURN = 3;
+/** Tokens per event, as set in the routing document. */
 const TOKENS_PER_EVENT = 2;
-const MOST_TOKENS = EVENTS * TOKENS_PER_EVENT;
-/** Turns that a program's budget allows. */
+const MAX_TOKENS_PER_TURN = EVENTS_PER_TURN * TOKENS_PER_EVENT;
+/** Number of turns that a program's token budget allows. */
 const BUDGET_TURNS = 8;
 const OK = 200;
 const NOT_FOUND = 404;
-const BUDGET_SPENT = 402;
-/** Time after which some callers leave, ms: amid a turn. */
-const PATIENCE_MILLISECONDS = 4;
-const PAUSE_MILLISECONDS = 40;
+const PAYMENT_REQUIRED = 402;
+/** Time after which some callers disconnect, ms; it falls within a turn. */
+const LEAVE_AFTER_MILLISECONDS = 4;
+const MAX_PAUSE_MILLISECONDS = 40;
 
-/** What a caller works with. */
+/** Options of {@linkcode ProgramCaller}. */
 export interface ProgramCallerOptions {
+  /** Prefix of the ids of all programs and calls. */
   readonly name: string;
   readonly site: GatewaySite;
   readonly random: Random;
@@ -31,17 +35,17 @@
   readonly isOver: () => boolean;
 }
 
-interface KnownTurn {
+interface AnsweredTurn {
   readonly id: string;
-  /** Prompt and output: what the next turn of its line starts with. */
+  /** Prompt and output, which the next turn continues. */
   readonly history: string;
 }
 
-/** Runs one program after the other. */
+/** Runs programs one after the other. */
 export class ProgramCaller {
   readonly #options: ProgramCallerOptions;
-  #program = 0;
-  #call = 0;
+  #programCount = 0;
+  #callCount = 0;
 
   constructor(options: ProgramCallerOptions) {
     this.#options = options;
@@ -52,41 +56,49 @@
     while (!this.#options.isOver()) await this.#runProgram();
   }
 
-  /** Asks for the first turn of a new program; true if it was answered whole. */
-  async askFirstTurn(): Promise<boolean> {
-    const program = `${this.#options.name}-${++this.#program}`;
-    const { turn } = await this.#askTurn(program, undefined);
+  /** Requests the first turn of a new program; true if the answer was complete. */
+  async requestFirstTurn(): Promise<boolean> {
+    const program = `${this.#options.name}-${++this.#programCount}`;
+    const { turn } = await this.#requestTurn(program, undefined);
     return turn !== undefined;
   }
 
   async #runProgram(): Promise<void> {
     const { random, isOver, name } = this.#options;
-    const program = `${name}-${++this.#program}`;
-    const turns: KnownTurn[] = [];
-    let handed = 0;
+    const program = `${name}-${++this.#programCount}`;
+    const turns: AnsweredTurn[] = [];
+    let receivedTokens = 0;
     const length = random.between(2, BUDGET_TURNS + 2);
     for (let step = 0; step < length && !isOver(); step++) {
       if (random.happens(30)) await this.#callTool();
       const previous = random.happens(80) ? turns.at(-1) : turns[0];
-      const { seen, turn, events } = await this.#askTurn(program, previous);
-      handed += events * TOKENS_PER_EVENT;
+      const { seen, turn, events } = await this.#requestTurn(program, previous);
+      receivedTokens += events * TOKENS_PER_EVENT;
       if (turn !== undefined) turns.push(turn);
-      if (seen.status === BUDGET_SPENT) break;
-      await sleep(random.between(0, PAUSE_MILLISECONDS));
+      if (seen.status === PAYMENT_REQUIRED) break;
+      await sleep(random.between(0, MAX_PAUSE_MILLISECONDS));
     }
-    if (handed > BUDGET_TURNS * MOST_TOKENS + MOST_TOKENS) {
+    if (
+      receivedTokens > BUDGET_TURNS * MAX_TOKENS_PER_TURN + MAX_TOKENS_PER_TURN
+    ) {
       const { records } = this.#options;
-      records.violate(PROMISES.BUDGET, `${program} got ${handed} tokens`);
+      records.addViolation(
+        PROMISES.BUDGET,
+        `${program} got ${receivedTokens} tokens`,
+      );
     }
   }
 
-  async #askTurn(program: string, previous: KnownTurn | undefined): Promise<{
+  async #requestTurn(
+    program: string,
+    previous: AnsweredTurn | undefined,
+  ): Promise<{
     readonly seen: CallSeen;
-    readonly turn: KnownTurn | undefined;
+    readonly turn: AnsweredTurn | undefined;
     readonly events: number;
   }> {
     const { records, random } = this.#options;
-    const callId = this.#nameCall();
+    const callId = this.#createCallId();
     const input = `input-${callId};`;
     const prompt = `${previous?.history ?? ""}${input}`;
     const seen = await this.#send({
@@ -95,30 +107,36 @@
       body: input,
       prompt,
       mayRepeat: false,
-      leaves: random.happens(5),
+      leavesEarly: random.happens(5),
       headers: {
         "x-program": program,
-        "x-most-tokens": String(MOST_TOKENS),
-        "x-token-budget": String(BUDGET_TURNS * MOST_TOKENS),
+        "x-most-tokens": String(MAX_TOKENS_PER_TURN),
+        "x-token-budget": String(BUDGET_TURNS * MAX_TOKENS_PER_TURN),
         ...(previous === undefined ? {} : { "x-previous-turn": previous.id }),
       },
     });
     const events = seen.status === OK ? countEvents(seen.body) : 0;
     if (seen.status === NOT_FOUND) {
-      records.violate(PROMISES.KEPT, `${callId} after ${previous?.id}: 404`);
+      records.addViolation(
+        PROMISES.TURN_KEPT,
+        `${callId} after ${previous?.id}: 404`,
+      );
     }
     const isWhole = seen.status === OK && seen.whole;
     if (!isWhole) return { seen, turn: undefined, events };
     if (seen.body !== describeStream(prompt)) {
-      records.violate(PROMISES.WHOLE, `${callId} got ${seen.body}`);
+      records.addViolation(
+        PROMISES.CORRECT_ANSWER,
+        `${callId} got ${seen.body}`,
+      );
     }
-    const history = `${prompt}${describeOutput(prompt, EVENTS)}`;
+    const history = `${prompt}${describeOutput(prompt, EVENTS_PER_TURN)}`;
     return { seen, turn: { id: callId, history }, events };
   }
 
   async #callTool(): Promise<void> {
     const { records, random } = this.#options;
-    const callId = this.#nameCall();
+    const callId = this.#createCallId();
     const mayRepeat = random.happens(50);
     const seen = await this.#send({
       callId,
@@ -126,12 +144,15 @@
       body: `tool-${callId}`,
       prompt: `tool-${callId}`,
       mayRepeat,
-      leaves: false,
+      leavesEarly: false,
       headers: {},
     });
     const isWhole = seen.status === OK && seen.whole;
     if (isWhole && seen.body !== `ran ${callId}`) {
-      records.violate(PROMISES.WHOLE, `${callId} got ${seen.body}`);
+      records.addViolation(
+        PROMISES.CORRECT_ANSWER,
+        `${callId} got ${seen.body}`,
+      );
     }
   }
 
@@ -141,12 +162,12 @@
     readonly body: string;
     readonly prompt: string;
     readonly mayRepeat: boolean;
-    readonly leaves: boolean;
+    readonly leavesEarly: boolean;
     readonly headers: Readonly<Record<string, string>>;
   }): Promise<CallSeen> {
     const { records, random, site } = this.#options;
     const { callId, mayRepeat, prompt } = call;
-    const { workspace, key } = HOME;
+    const { workspace, key } = HOME_WORKSPACE;
     const sent = { callId, mayRepeat, prompt, workspace, seen: undefined };
     records.add(sent);
     const gateway = random.choose(site.gateways);
@@ -159,8 +180,8 @@
         authorization: `Bearer ${key}`,
         ...call.headers,
       },
-      signal: call.leaves
-        ? AbortSignal.timeout(PATIENCE_MILLISECONDS)
+      signal: call.leavesEarly
+        ? AbortSignal.timeout(LEAVE_AFTER_MILLISECONDS)
         : AbortSignal.timeout(20_000),
     });
     Object.assign(sent, { seen });
@@ -168,8 +189,8 @@
     return seen;
   }
 
-  #nameCall(): string {
-    return `${this.#options.name}-c${++this.#call}`;
+  #createCallId(): string {
+    return `${this.#options.name}-c${++this.#callCount}`;
   }
 }
 
@@ -177,10 +198,10 @@
   return body.split("data: ").length - 1;
 }
 
-/** The stream that an upstream makes of a prompt. */
+/** Returns the complete stream that an upstream sends for a prompt. */
 function describeStream(prompt: string): string {
   let stream = "";
-  for (let event = 1; event <= EVENTS; event++) {
+  for (let event = 1; event <= EVENTS_PER_TURN; event++) {
     stream += `id: ${event}\ndata: ${describeEvent(prompt, event)}\n\n`;
   }
   return stream;
--- a/packages/bench/src/gateway_soak/run_gateway_soak.ts
+++ b/packages/bench/src/gateway_soak/run_gateway_soak.ts
@@ -1,11 +1,19 @@
-/** Mixes faults over a live site of gateways and checks every promise. */
+/** Injects faults into a running site of gateways and checks every promise. */
 
 import { mkdirSync, rmSync } from "node:fs";
 import { sleep } from "@mallowlift/core";
 import { Random } from "../soak/random.ts";
-import { type Broken, CallerRecords, PROMISES } from "./caller_records.ts";
+import {
+  CallerRecords,
+  PROMISES,
+  type PromiseViolation,
+} from "./caller_records.ts";
 import { DocumentOperators } from "./document_operator.ts";
-import { FaultLocks, injectSeries, restAtMost } from "./gateway_faults.ts";
+import {
+  FaultLocks,
+  injectFaultSeries,
+  sleepUnlessOver,
+} from "./gateway_faults.ts";
 import { GuestCaller } from "./guest_caller.ts";
 import { ProgramCaller } from "./program_caller.ts";
 import {
@@ -14,35 +22,44 @@
   startSoakSite,
   stopSoakSite,
 } from "./soak_site.ts";
-import { GUEST, GUEST_QUOTA, WINDOW_SECONDS } from "./soak_workspaces.ts";
+import {
+  GUEST_QUOTA,
+  GUEST_WORKSPACE,
+  WINDOW_SECONDS,
+} from "./soak_workspaces.ts";
 
-/** Series of faults that run side by side. */
-const SERIES = 3;
-/** Time in which a healed site must serve, ms. */
-const SERVED_MILLISECONDS = 30_000;
-const LOOK_MILLISECONDS = 100;
-/** Keeps the random streams of one seed apart. */
+/** Number of concurrent series of faults. */
+const FAULT_SERIES = 3;
+/** Time within which the site must serve again after the faults, ms. */
+const RECOVERY_MILLISECONDS = 30_000;
+const POLL_MILLISECONDS = 100;
+/** Random streams per seed, so that two seeds never share a stream. */
 const STREAMS_PER_SEED = 1_000;
 
-/** How long and hard a soak is. */
+/** Seed, duration and load of a soak. */
 export interface GatewaySoakPlan {
   readonly seed: number;
+  /** Time for which faults are injected, s. */
   readonly seconds: number;
+  /** Number of program callers. */
   readonly callers: number;
   readonly size: SoakSize;
+  /** Folder of the site's data; it is deleted first. */
   readonly folder: string;
+  /** Called with the name of each fault. */
   readonly print: (line: string) => void;
 }
 
-/** What a soak found. */
+/** Result of a soak. */
 export interface GatewaySoakResult {
+  /** Number of calls that were sent. */
   readonly calls: number;
   readonly counts: ReadonlyMap<string, number>;
-  readonly broken: readonly Broken[];
+  readonly broken: readonly PromiseViolation[];
 }
 
 /**
- * Runs a soak.
+ * Runs a soak of gateways.
  *
  * @example
  * ```ts
@@ -55,28 +72,31 @@
   rmSync(plan.folder, { recursive: true, force: true });
   mkdirSync(plan.folder, { recursive: true });
   const startedAt = Date.now();
-  const parts = await startSoakSite(plan.folder, plan.size);
+  const soakSite = await startSoakSite(plan.folder, plan.size);
   const records = new CallerRecords();
   try {
-    await runLoad(plan, parts, records);
+    await runLoad(plan, soakSite, records);
   } finally {
-    await stopSoakSite(parts);
+    await stopSoakSite(soakSite);
   }
-  records.checkRuns(parts.upstreams);
+  records.checkRuns(soakSite.upstreams);
   const { ratePerSecond, burst } = GUEST_QUOTA;
   const windows = 1 + (Date.now() - startedAt) / (WINDOW_SECONDS * 1_000);
-  const most = Math.ceil(windows) * (ratePerSecond * WINDOW_SECONDS + burst);
-  records.checkQuota(parts.upstreams, { workspace: GUEST, most });
+  const maxRuns = Math.ceil(windows) * (ratePerSecond * WINDOW_SECONDS + burst);
+  records.checkQuota(soakSite.upstreams, {
+    workspace: GUEST_WORKSPACE,
+    maxRuns,
+  });
   const { size: calls, counts, broken } = records;
   return { calls, counts, broken };
 }
 
 async function runLoad(
   plan: GatewaySoakPlan,
-  parts: SoakSite,
+  soakSite: SoakSite,
   records: CallerRecords,
 ): Promise<void> {
-  const { site } = parts;
+  const { site } = soakSite;
   const endsAt = Date.now() + plan.seconds * 1_000;
   const isOver = () => Date.now() >= endsAt;
   let stream = plan.seed * STREAMS_PER_SEED;
@@ -98,11 +118,12 @@
     records,
     isOver,
   });
-  const racing = operators.run();
+  const operatorsRun = operators.run();
   const guest = new GuestCaller({
     name: "guest",
     site,
-    // A stream of its own leaves those of all others as they are.
+    // The last stream of the seed: taking the next one instead would change the
+    // random choices of the faults for every seed.
     random: new Random((plan.seed + 1) * STREAMS_PER_SEED - 1),
     records,
     isOver,
@@ -110,60 +131,65 @@
   });
   callers.push(guest.run());
   const locks = new FaultLocks();
-  const series = Array.from({ length: SERIES }, () =>
-    injectSeries({
-      ...parts,
+  const series = Array.from({ length: FAULT_SERIES }, () =>
+    injectFaultSeries({
+      ...soakSite,
       random: createRandom(),
       records,
       locks,
-      rest: (milliseconds) => restAtMost(milliseconds, isOver),
+      sleep: (milliseconds) => sleepUnlessOver(milliseconds, isOver),
       isOver,
       print: plan.print,
     }));
-  await Promise.all([...series, ...callers, racing]);
-  await checkServed({ parts, records, operators, random: createRandom() });
+  await Promise.all([...series, ...callers, operatorsRun]);
+  await checkServedAgain({
+    parts: soakSite,
+    records,
+    operators,
+    random: createRandom(),
+  });
 }
 
-/** Once all faults have ended, programs and operators must be served again. */
-async function checkServed(after: {
+/** Checks that programs and operators are served again after the faults. */
+async function checkServedAgain(options: {
   readonly parts: SoakSite;
   readonly records: CallerRecords;
   readonly operators: DocumentOperators;
   readonly random: Random;
 }): Promise<void> {
-  const { parts, records, operators, random } = after;
-  for (const daemon of parts.site.daemons) {
-    if (!daemon.process.isRunning) parts.site.restart(daemon);
+  const { parts: soakSite, records, operators, random } = options;
+  for (const daemon of soakSite.site.daemons) {
+    if (!daemon.process.isRunning) soakSite.site.restart(daemon);
   }
   const caller = new ProgramCaller({
     name: "probe",
-    site: parts.site,
+    site: soakSite.site,
     random,
     records,
     isOver: () => false,
   });
-  const until = Date.now() + SERVED_MILLISECONDS;
-  let isServed = false;
-  let isRead = false;
-  let waiting: readonly string[] = [];
+  const until = Date.now() + RECOVERY_MILLISECONDS;
+  let isTurnServed = false;
+  let isDocumentRead = false;
+  let notReady: readonly string[] = [];
   while (Date.now() < until) {
-    isServed = await caller.askFirstTurn() || isServed;
-    isRead = await operators.check() || isRead;
-    waiting = await listNotReady(parts);
-    if (isServed && isRead && waiting.length === 0) return;
-    await sleep(LOOK_MILLISECONDS);
+    isTurnServed = await caller.requestFirstTurn() || isTurnServed;
+    isDocumentRead = await operators.check() || isDocumentRead;
+    notReady = await listNotReady(soakSite);
+    if (isTurnServed && isDocumentRead && notReady.length === 0) return;
+    await sleep(POLL_MILLISECONDS);
   }
-  records.violate(
-    PROMISES.SERVED,
-    `turn served: ${isServed}, document read: ${isRead}, ` +
-      `not ready: ${waiting.join(", ")}`,
+  records.addViolation(
+    PROMISES.SERVED_AGAIN,
+    `turn served: ${isTurnServed}, document read: ${isDocumentRead}, ` +
+      `not ready: ${notReady.join(", ")}`,
   );
 }
 
-async function listNotReady(parts: SoakSite): Promise<readonly string[]> {
+async function listNotReady(soakSite: SoakSite): Promise<readonly string[]> {
   const names: string[] = [];
-  for (const daemon of parts.site.daemons) {
-    if (!await parts.site.isReady(daemon)) names.push(daemon.name);
+  for (const daemon of soakSite.site.daemons) {
+    if (!await soakSite.site.isReady(daemon)) names.push(daemon.name);
   }
   return names;
 }
--- a/packages/bench/src/gateway_soak/soak_site.ts
+++ b/packages/bench/src/gateway_soak/soak_site.ts
@@ -1,19 +1,19 @@
-/** The site that the soak of gateways runs against. */
+/** Site that the gateway soak runs against. */
 
 import { join } from "node:path";
 import { OpaqueUpstream } from "@mallowlift/mocks";
 import { GatewaySite } from "../gateways/gateway_site.ts";
-import { FIRST_DOCUMENT, WORKSPACE_SETTINGS } from "./soak_workspaces.ts";
+import { INITIAL_DOCUMENT, WORKSPACE_SETTINGS } from "./soak_workspaces.ts";
 
-/** How large a site is. */
+/** Number of daemons and upstreams of a site. */
 export interface SoakSize {
   readonly gateways: number;
   readonly stores: number;
   readonly upstreams: number;
 }
 
-/** The usual site: every kind of daemon more than once. */
-export const USUAL_SIZE: SoakSize = { gateways: 3, stores: 4, upstreams: 4 };
+/** Default size, with more than one of each daemon and upstream. */
+export const DEFAULT_SIZE: SoakSize = { gateways: 3, stores: 4, upstreams: 4 };
 
 /** A running site and its upstreams. */
 export interface SoakSite {
@@ -21,7 +21,7 @@
   readonly upstreams: readonly OpaqueUpstream[];
 }
 
-/** Starts a site whose every connection passes a proxy, except the callers'. */
+/** Starts a site; all connections but the callers' go through fault proxies. */
 export async function startSoakSite(
   folder: string,
   size: SoakSize,
@@ -40,12 +40,12 @@
     waitMilliseconds: 1_500,
     proxied: true,
     gatewaySettings: WORKSPACE_SETTINGS,
-  }, FIRST_DOCUMENT);
+  }, INITIAL_DOCUMENT);
   return { site, upstreams };
 }
 
-/** Stops everything that was started. */
-export async function stopSoakSite(parts: SoakSite): Promise<void> {
-  await parts.site.stop();
-  for (const upstream of parts.upstreams) upstream.stop();
+/** Stops the site and its upstreams. */
+export async function stopSoakSite(soakSite: SoakSite): Promise<void> {
+  await soakSite.site.stop();
+  for (const upstream of soakSite.upstreams) upstream.stop();
 }
