--- a/packages/bench/src/gateway_soak/caller_records.ts
+++ b/packages/bench/src/gateway_soak/caller_records.ts
@@ -82,7 +82,7 @@
   }
 
   /** Records a violation of a promise. */
-  addViolation(promise: string, details: string): void {
+  fail(promise: string, details: string): void {
     this.broken.push({ promise, details });
   }
 
@@ -94,12 +94,9 @@
         runs.set(run.callId, (runs.get(run.callId) ?? 0) + 1);
         const call = this.#calls.get(run.callId);
         if (call === undefined) {
-          this.addViolation(
-            PROMISES.EXACT_HISTORY,
-            `${run.callId} was sent by nobody`,
-          );
+          this.fail(PROMISES.EXACT_HISTORY, `${run.callId} was sent by nobody`);
         } else if (call.prompt !== undefined && call.prompt !== run.body) {
-          this.addViolation(
+          this.fail(
             PROMISES.EXACT_HISTORY,
             `${run.callId} got another history`,
           );
@@ -118,16 +115,13 @@
     const runs = upstreams.flatMap((upstream) => upstream.runs)
       .filter(({ headers }) => headers["x-workspace"] === quota.workspace);
     if (runs.length <= quota.maxRuns) return;
-    this.addViolation(
-      PROMISES.QUOTA,
-      `${runs.length} ran, ${quota.maxRuns} allowed`,
-    );
+    this.fail(PROMISES.QUOTA, `${runs.length} ran, ${quota.maxRuns} allowed`);
   }
 
   #checkWorkspace(call: SentCall, headers: OpaqueRun["headers"]): void {
     const { callId, workspace, keyVersion, sentAt = 0 } = call;
     if (headers["x-workspace"] !== workspace || headers.authorization) {
-      this.addViolation(PROMISES.WORKSPACE, callId);
+      this.fail(PROMISES.WORKSPACE, callId);
     }
     if (keyVersion === undefined) return;
     const revocationTimes = this.#acknowledged.filter(({ version }) =>
@@ -135,7 +129,7 @@
     ).map(({ at }) => at);
     const lateMilliseconds = sentAt - Math.min(...revocationTimes);
     if (lateMilliseconds <= REVOCATION_MILLISECONDS) return;
-    this.addViolation(
+    this.fail(
       PROMISES.REVOKED,
       `${callId} was sent ${lateMilliseconds} ms after it`,
     );
@@ -145,14 +139,11 @@
     const call = this.#calls.get(callId);
     if (call === undefined) return;
     if (!call.mayRepeat && count > 1) {
-      this.addViolation(PROMISES.AT_MOST_ONCE, `${callId} ran ${count} times`);
+      this.fail(PROMISES.AT_MOST_ONCE, `${callId} ran ${count} times`);
     }
     const status = call.seen?.status ?? 0;
     if (!call.mayRepeat && NOT_RUN_STATUSES.has(status)) {
-      this.addViolation(
-        PROMISES.REFUSED_NEVER_RUNS,
-        `${callId} got ${status} and ran`,
-      );
+      this.fail(PROMISES.REFUSED_NEVER_RUNS, `${callId} got ${status} and ran`);
     }
   }
 }
--- a/packages/bench/src/gateway_soak/document_operator.ts
+++ b/packages/bench/src/gateway_soak/document_operator.ts
@@ -63,13 +63,10 @@
     if (answer === undefined) return false;
     const { version } = JSON.parse(answer) as { readonly version: number };
     if (version < leastVersion) {
-      records.addViolation(
-        PROMISES.DOCUMENT,
-        `read ${version} after ${leastVersion}`,
-      );
+      records.fail(PROMISES.DOCUMENT, `read ${version} after ${leastVersion}`);
     }
     if (this.#sent.get(version) !== answer) {
-      records.addViolation(PROMISES.DOCUMENT, `version ${version} has changed`);
+      records.fail(PROMISES.DOCUMENT, `version ${version} has changed`);
     }
     return true;
   }
--- a/packages/bench/src/gateway_soak/gateway_faults.ts
+++ b/packages/bench/src/gateway_soak/gateway_faults.ts
@@ -197,7 +197,7 @@
   await context.site.waitUntilHeard(daemon, HEALTH_ANSWER_MILLISECONDS);
   const code = await daemon.process.stop();
   if (code !== 0) {
-    context.records.addViolation(
+    context.records.fail(
       PROMISES.CLEAN_STOP,
       `${daemon.name} ended with ${code}`,
     );
@@ -216,10 +216,7 @@
     site.restart(store);
     const repaired = await site.waitUntilCounts(store, REPAIR_MILLISECONDS);
     if (!repaired) {
-      records.addViolation(
-        PROMISES.SERVED_AGAIN,
-        `${store.name} did not join again`,
-      );
+      records.fail(PROMISES.SERVED_AGAIN, `${store.name} did not join again`);
     }
   });
   locks.isDiskLost = false;
--- a/packages/bench/src/gateway_soak/program_caller.ts
+++ b/packages/bench/src/gateway_soak/program_caller.ts
@@ -82,10 +82,7 @@
       receivedTokens > BUDGET_TURNS * MAX_TOKENS_PER_TURN + MAX_TOKENS_PER_TURN
     ) {
       const { records } = this.#options;
-      records.addViolation(
-        PROMISES.BUDGET,
-        `${program} got ${receivedTokens} tokens`,
-      );
+      records.fail(PROMISES.BUDGET, `${program} got ${receivedTokens} tokens`);
     }
   }
 
@@ -117,18 +114,12 @@
     });
     const events = seen.status === OK ? countEvents(seen.body) : 0;
     if (seen.status === NOT_FOUND) {
-      records.addViolation(
-        PROMISES.TURN_KEPT,
-        `${callId} after ${previous?.id}: 404`,
-      );
+      records.fail(PROMISES.TURN_KEPT, `${callId} after ${previous?.id}: 404`);
     }
     const isWhole = seen.status === OK && seen.whole;
     if (!isWhole) return { seen, turn: undefined, events };
     if (seen.body !== describeStream(prompt)) {
-      records.addViolation(
-        PROMISES.CORRECT_ANSWER,
-        `${callId} got ${seen.body}`,
-      );
+      records.fail(PROMISES.CORRECT_ANSWER, `${callId} got ${seen.body}`);
     }
     const history = `${prompt}${describeOutput(prompt, EVENTS_PER_TURN)}`;
     return { seen, turn: { id: callId, history }, events };
@@ -149,10 +140,7 @@
     });
     const isWhole = seen.status === OK && seen.whole;
     if (isWhole && seen.body !== `ran ${callId}`) {
-      records.addViolation(
-        PROMISES.CORRECT_ANSWER,
-        `${callId} got ${seen.body}`,
-      );
+      records.fail(PROMISES.CORRECT_ANSWER, `${callId} got ${seen.body}`);
     }
   }
 
--- a/packages/bench/src/gateway_soak/run_gateway_soak.ts
+++ b/packages/bench/src/gateway_soak/run_gateway_soak.ts
@@ -179,7 +179,7 @@
     if (isTurnServed && isDocumentRead && notReady.length === 0) return;
     await sleep(POLL_MILLISECONDS);
   }
-  records.addViolation(
+  records.fail(
     PROMISES.SERVED_AGAIN,
     `turn served: ${isTurnServed}, document read: ${isDocumentRead}, ` +
       `not ready: ${notReady.join(", ")}`,
--- a/packages/bench/src/soak/check_invariants.ts
+++ b/packages/bench/src/soak/check_invariants.ts
@@ -1,4 +1,4 @@
-/** Checks the promises from outside, once the soak has come to rest. */
+/** Checks the promises from the outside, after the faults and the load have ended. */
 
 import { performance } from "node:perf_hooks";
 import {
@@ -9,19 +9,19 @@
 } from "@mallowlift/core";
 import type { FakeEngine, FakeService } from "@mallowlift/mocks";
 import type { SiteAnswer, SiteClient } from "../site/site_client.ts";
-import type { ProgramNote, SoakRecords } from "./records.ts";
+import type { ProgramRecord, SoakRecords } from "./records.ts";
 
-const RELEASE_MILLISECONDS = 15_000;
-const LOOK_MILLISECONDS = 250;
+const MEMORY_RELEASE_MILLISECONDS = 15_000;
+const POLL_MILLISECONDS = 250;
 /**
- * Time in which every program is served again once all daemons run and are
- * healthy, ms: two elections of a group that was split, and the reading of a
- * snapshot, on a machine that is busy with other work.
+ * Time within which every program must be served again once all daemons run and
+ * are healthy, ms. It covers two elections of a group that was partitioned and
+ * the loading of a snapshot, on a machine that is busy with other work.
  */
-const SERVICE_BACK_MILLISECONDS = 10_000;
-const UNAVAILABLE = 503;
+const SERVICE_RECOVERY_MILLISECONDS = 10_000;
+const SERVICE_UNAVAILABLE = 503;
 
-/** Every promise that a soak checks. */
+/** Promises that a soak checks, by the names that it prints. */
 export const INVARIANTS = [
   "at most once",
   "not run is true",
@@ -38,23 +38,23 @@
   "configuration in force",
 ] as const;
 
-/** What the checks look at. */
+/** Options of {@linkcode checkInvariants}. */
 export interface CheckOptions {
   readonly records: SoakRecords;
   readonly engines: readonly FakeEngine[];
   readonly services: readonly FakeService[];
-  /** A client with the token of each outfit. */
+  /** Returns a client with the token of an outfit. */
   findClient(outfit: string): SiteClient;
 }
 
 /** Runs all checks. */
 export async function checkInvariants(options: CheckOptions): Promise<void> {
   checkRuns(options);
-  const backBy = performance.now() + SERVICE_BACK_MILLISECONDS;
+  const recoveryDeadline = performance.now() + SERVICE_RECOVERY_MILLISECONDS;
   for (const program of options.records.programs) {
-    await checkProgram(options, { note: program, backBy });
+    await checkProgram(options, { record: program, recoveryDeadline });
   }
-  await checkMemory(options);
+  await checkMemoryFreed(options);
 }
 
 function checkRuns(options: CheckOptions): void {
@@ -67,20 +67,17 @@
     }
   }
   for (const [key, count] of runs) {
-    if (count > 1) records.violate("at most once", `${key} ran ${count} times`);
+    if (count > 1) records.fail("at most once", `${key} ran ${count} times`);
   }
   for (const program of records.programs) {
     for (const call of program.calls) {
       if (call.kind !== "write") continue;
       const count = runs.get(`${program.program}/${call.requestId}`) ?? 0;
       if (call.notRun && count > 0) {
-        records.violate(
-          "not run is true",
-          `${call.requestId} ran, ${call.code}`,
-        );
+        records.fail("not run is true", `${call.requestId} ran, ${call.code}`);
       }
       if (call.code === "OK" && count !== 1) {
-        records.violate(
+        records.fail(
           "answered runs once",
           `${call.requestId} ran ${count} times`,
         );
@@ -90,43 +87,47 @@
 }
 
 /**
- * Reads a history, and again while the answer only says that nothing can be
- * said for now. That must end within the bound; it is neither a leak nor a loss.
+ * Reads a history, and retries while the answer is 503. An unavailable service
+ * is neither a leak nor a loss, but it must be back before the deadline.
  */
-async function readWhenBack(
+async function readHistoryWithRetries(
   client: SiteClient,
   program: string,
-  details: { readonly records: SoakRecords; readonly backBy: number },
+  options: { readonly records: SoakRecords; readonly recoveryDeadline: number },
 ): Promise<SiteAnswer | undefined> {
-  const { records, backBy } = details;
+  const { records, recoveryDeadline } = options;
   while (true) {
     const answer = await client.readHistory(program);
-    if (answer.status !== UNAVAILABLE) return answer;
+    if (answer.status !== SERVICE_UNAVAILABLE) return answer;
     const reason = JSON.stringify(answer.body);
     records.count("checks that found no service");
-    if (performance.now() > backBy) {
-      records.violate("service is back", `${program}: ${reason}`);
+    if (performance.now() > recoveryDeadline) {
+      records.fail("service is back", `${program}: ${reason}`);
       return undefined;
     }
-    await sleep(LOOK_MILLISECONDS);
+    await sleep(POLL_MILLISECONDS);
   }
 }
 
 async function checkProgram(
   options: CheckOptions,
-  details: { readonly note: ProgramNote; readonly backBy: number },
+  details: {
+    readonly record: ProgramRecord;
+    readonly recoveryDeadline: number;
+  },
 ): Promise<void> {
   const { records, findClient } = options;
-  const { note, backBy } = details;
-  const history = await readWhenBack(findClient(note.outfit), note.program, {
-    records,
-    backBy,
-  });
+  const { record, recoveryDeadline } = details;
+  const history = await readHistoryWithRetries(
+    findClient(record.outfit),
+    record.program,
+    { records, recoveryDeadline },
+  );
   if (history === undefined) return;
   if (history.status !== 200) {
-    records.violate(
+    records.fail(
       "history kept",
-      `${note.program} has status ${history.status}`,
+      `${record.program} has status ${history.status}`,
     );
     return;
   }
@@ -135,26 +136,29 @@
   for (const turn of turns) {
     digest = extendDigest(digest, describeTurn(turn));
     if (digest !== turn.digest) {
-      records.violate("digest exact", `${note.program} ${turn.turn}`);
+      records.fail("digest exact", `${record.program} ${turn.turn}`);
     }
   }
-  if (digest !== program.digest) records.violate("digest exact", note.program);
-  checkOrder(records, note, turns);
-  let used = 0;
-  for (const turn of turns) used += measureTurn(turn);
-  if (program.tokens_used > note.budget || program.tokens_used < used) {
-    records.violate(
+  if (digest !== program.digest) records.fail("digest exact", record.program);
+  checkOrder(records, record, turns);
+  let usedByTurns = 0;
+  for (const turn of turns) usedByTurns += measureTurn(turn);
+  if (
+    program.tokens_used > record.budget || program.tokens_used < usedByTurns
+  ) {
+    records.fail(
       "budget holds",
-      `${note.program} used ${program.tokens_used}, turns ${used}`,
+      `${record.program} used ${program.tokens_used}, turns ${usedByTurns}`,
     );
   }
-  const rival = note.outfit === "north" ? "south" : "north";
-  const seen = await readWhenBack(findClient(rival), note.program, {
-    records,
-    backBy,
-  });
-  if (seen === undefined || seen.status === 404) return;
-  records.violate("rivals see nothing", `${note.program}: ${seen.status}`);
+  const otherOutfit = record.outfit === "north" ? "south" : "north";
+  const otherView = await readHistoryWithRetries(
+    findClient(otherOutfit),
+    record.program,
+    { records, recoveryDeadline },
+  );
+  if (otherView === undefined || otherView.status === 404) return;
+  records.fail("rivals see nothing", `${record.program}: ${otherView.status}`);
 }
 
 // deno-lint-ignore no-explicit-any -- the shape of the callers' interface
@@ -189,54 +193,54 @@
 
 function checkOrder(
   records: SoakRecords,
-  note: ProgramNote,
+  record: ProgramRecord,
   // deno-lint-ignore no-explicit-any -- the shape of the callers' interface
   turns: readonly any[],
 ): void {
-  const answered = note.calls.filter((call) => call.code === "OK");
+  const answered = record.calls.filter((call) => call.code === "OK");
   let previous = 0;
   for (const call of answered) {
     const turn = turns[call.turn - 1];
     const isKept = turn?.request_id === call.requestId &&
       turn.digest === call.digest;
     if (!isKept || call.turn <= previous) {
-      records.violate(
+      records.fail(
         "history kept",
-        `${note.program} ${call.requestId} at ${call.turn}`,
+        `${record.program} ${call.requestId} at ${call.turn}`,
       );
     }
     previous = call.turn;
   }
   for (const turn of turns) {
-    const call = note.calls.find((known) =>
+    const call = record.calls.find((known) =>
       known.requestId === turn.request_id
     );
     const isStray = call === undefined || call.notRun;
-    if (isStray && note.ended) {
-      records.violate(
+    if (isStray && record.ended) {
+      records.fail(
         "history kept",
-        `${note.program} has a stray turn ${turn.request_id}`,
+        `${record.program} has a stray turn ${turn.request_id}`,
       );
     }
   }
 }
 
-async function checkMemory(options: CheckOptions): Promise<void> {
+async function checkMemoryFreed(options: CheckOptions): Promise<void> {
   const { records, engines } = options;
-  const ended = new Set(
+  const endedPrograms = new Set(
     records.programs.filter((program) => program.ended).map((program) =>
       program.program
     ),
   );
-  const listHeld = () =>
+  const listHeldSessions = () =>
     engines.flatMap((engine) => engine.sessions).filter((session) =>
-      ended.has(session)
+      endedPrograms.has(session)
     );
-  const deadline = Date.now() + RELEASE_MILLISECONDS;
-  while (listHeld().length > 0 && Date.now() < deadline) {
-    await sleep(LOOK_MILLISECONDS);
+  const deadline = Date.now() + MEMORY_RELEASE_MILLISECONDS;
+  while (listHeldSessions().length > 0 && Date.now() < deadline) {
+    await sleep(POLL_MILLISECONDS);
   }
-  for (const session of listHeld()) {
-    records.violate("memory freed", `${session} is still held`);
+  for (const session of listHeldSessions()) {
+    records.fail("memory freed", `${session} is still held`);
   }
 }
--- a/packages/bench/src/soak/fault_schedule.ts
+++ b/packages/bench/src/soak/fault_schedule.ts
@@ -1,4 +1,4 @@
-/** Faults that a seed determines, one after the other. */
+/** Injects a sequence of faults that is determined by a seed. */
 
 import { sleep } from "@mallowlift/core";
 import type { FakeEngine, FakeService } from "@mallowlift/mocks";
@@ -6,7 +6,7 @@
 import type { Random } from "./random.ts";
 import type { SoakRecords } from "./records.ts";
 
-/** What faults are injected into. */
+/** Components that faults are injected into. */
 export interface FaultTargets {
   readonly site: Site;
   readonly engines: readonly FakeEngine[];
@@ -22,15 +22,15 @@
 const FAULTS: readonly Fault[] = [
   {
     name: "kill replica",
-    inject: (targets, random) => restart(targets, random, "replica"),
+    inject: (targets, random) => killAndRestart(targets, random, "replica"),
   },
   {
     name: "kill sidecar",
-    inject: (targets, random) => restart(targets, random, "sidecar"),
+    inject: (targets, random) => killAndRestart(targets, random, "sidecar"),
   },
   {
     name: "kill entry",
-    inject: (targets, random) => restart(targets, random, "entry"),
+    inject: (targets, random) => killAndRestart(targets, random, "entry"),
   },
   { name: "freeze replica", inject: freezeReplica },
   { name: "freeze sidecar", inject: freezeSidecar },
@@ -39,13 +39,13 @@
   { name: "reset connections", inject: resetConnections },
   { name: "slow connections", inject: slowConnections },
   { name: "break streams", inject: breakStreams },
-  { name: "duplicate and cross events", inject: crossEvents },
+  { name: "duplicate and cross events", inject: duplicateEvents },
   { name: "drop service answers", inject: dropAnswers },
-  { name: "lose replica data", inject: loseData },
+  { name: "lose replica data", inject: loseDataThenKill },
   { name: "planned restart", inject: plannedRestart },
 ];
 
-/** Injects faults until the soak is over. */
+/** Injects one fault after the other until the soak is over. */
 export async function injectFaults(
   targets: FaultTargets,
   options: {
@@ -67,7 +67,7 @@
   }
 }
 
-function chooseDaemon(
+function chooseDaemonName(
   targets: FaultTargets,
   random: Random,
   role: string,
@@ -79,12 +79,12 @@
   return random.choose(names);
 }
 
-async function restart(
+async function killAndRestart(
   targets: FaultTargets,
   random: Random,
   role: string,
 ): Promise<void> {
-  const name = chooseDaemon(targets, random, role);
+  const name = chooseDaemonName(targets, random, role);
   const { process } = targets.site.get(name);
   await process.kill();
   await sleep(random.between(0, 2_500));
@@ -97,7 +97,7 @@
   random: Random,
   role: string,
 ): Promise<void> {
-  const { process } = targets.site.get(chooseDaemon(targets, random, role));
+  const { process } = targets.site.get(chooseDaemonName(targets, random, role));
   process.signal("SIGSTOP");
   await sleep(random.between(500, 6_000));
   process.signal("SIGCONT");
@@ -123,7 +123,7 @@
   random: Random,
 ): Promise<void> {
   const proxies = targets.site.listProxies(
-    chooseDaemon(targets, random, "replica"),
+    chooseDaemonName(targets, random, "replica"),
   );
   for (const { proxy } of proxies) proxy.cut();
   await sleep(random.between(500, 6_000));
@@ -170,7 +170,7 @@
   faults.breakAfterEvents = 0;
 }
 
-async function crossEvents(
+async function duplicateEvents(
   targets: FaultTargets,
   random: Random,
 ): Promise<void> {
@@ -192,16 +192,22 @@
   faults.dropAnswers = false;
 }
 
-/** Loses a folder, waits for repair, and at once kills a second replica. */
-async function loseData(targets: FaultTargets, random: Random): Promise<void> {
+/**
+ * Deletes a replica's data, waits until it is healthy again, then kills another
+ * replica at once.
+ */
+async function loseDataThenKill(
+  targets: FaultTargets,
+  random: Random,
+): Promise<void> {
   const { site } = targets;
-  const name = chooseDaemon(targets, random, "replica");
+  const name = chooseDaemonName(targets, random, "replica");
   const { process } = site.get(name);
   await process.kill();
   site.loseData(name);
   process.start();
   await site.waitUntilHealthy([name]);
-  const second = chooseDaemon(targets, random, "replica");
+  const second = chooseDaemonName(targets, random, "replica");
   if (second === name) return;
   await site.get(second).process.kill();
   await sleep(random.between(500, 2_000));
--- a/packages/bench/src/soak/operator_worker.ts
+++ b/packages/bench/src/soak/operator_worker.ts
@@ -1,22 +1,25 @@
-/** Two operators who race each other with equal versions and resend their orders. */
+/**
+ * Two operators that send conflicting orders for the same version, and repeat
+ * their orders.
+ */
 
 import { sleep } from "@mallowlift/core";
 import { OPERATOR_TOKEN } from "../site/site_plan.ts";
 import type { SiteAnswer, SiteClient } from "../site/site_client.ts";
 import type { SoakRecords } from "./records.ts";
 
-const PATH = "/v1/resources/priority/raced";
+const RESOURCE_PATH = "/v1/resources/priority/raced";
 const PAUSE_MILLISECONDS = 700;
-const TRY_MILLISECONDS = 20_000;
+const RETRY_TIMEOUT_MILLISECONDS = 20_000;
 
-/** What the operators work with. */
+/** Options of {@linkcode raceOperators}. */
 export interface OperatorOptions {
   readonly clients: readonly SiteClient[];
   readonly records: SoakRecords;
   readonly isOver: () => boolean;
 }
 
-/** Races until the soak is over; returns the last version that was won. */
+/** Sends orders until the soak is over; returns the last accepted version. */
 export async function raceOperators(options: OperatorOptions): Promise<number> {
   const { clients, records, isOver } = options;
   let version = 0;
@@ -36,17 +39,20 @@
     if (
       answers.every((answer) => answer !== undefined) && winners.length !== 1
     ) {
-      records.violate(
+      records.fail(
         "one winner",
         `round ${round} had ${winners.length} winners`,
       );
     }
     for (const [number, order] of orders.entries()) {
-      const again = await sendUntilDefinite(order);
+      const repeated = await sendUntilDefinite(order);
       const first = answers[number];
-      if (first?.status !== 200 || again === undefined) continue;
-      if (again.status !== 200 || again.body.revision !== first.body.revision) {
-        records.violate("same answer again", `round ${round} order ${number}`);
+      if (first?.status !== 200 || repeated === undefined) continue;
+      if (
+        repeated.status !== 200 ||
+        repeated.body.revision !== first.body.revision
+      ) {
+        records.fail("same answer again", `round ${round} order ${number}`);
       }
     }
     if (winners.length === 1) {
@@ -63,22 +69,22 @@
   readonly body: object;
 }
 
-/** Sends the same order until it is accepted or refused for good. */
+/** Sends an order until it is accepted or finally refused, or until the timeout. */
 async function sendUntilDefinite(
   order: Order,
 ): Promise<SiteAnswer | undefined> {
-  const deadline = Date.now() + TRY_MILLISECONDS;
+  const deadline = Date.now() + RETRY_TIMEOUT_MILLISECONDS;
   while (Date.now() < deadline) {
     try {
       const answer = await order.client.send({
         method: "PUT",
-        path: PATH,
+        path: RESOURCE_PATH,
         token: OPERATOR_TOKEN,
         body: order.body,
       });
       if (answer.status === 200 || answer.status === 409) return answer;
     } catch {
-      // The entry may be down; the order id makes it safe to ask again.
+      // The entry may be down; orders are idempotent by their id, so retry.
     }
     await sleep(100);
   }
--- a/packages/bench/src/soak/program_worker.ts
+++ b/packages/bench/src/soak/program_worker.ts
@@ -1,19 +1,19 @@
-/** A caller that runs program after program, and resends until it has a definite answer. */
+/** A caller that runs programs, and resends each call until its result is definite. */
 
 import { sleep } from "@mallowlift/core";
 import { composeAnswer } from "@mallowlift/mocks";
 import { SITE_MODEL, SITE_SERVICE } from "../site/seed_resources.ts";
 import type { SiteAnswer, SiteClient } from "../site/site_client.ts";
 import type { Random } from "./random.ts";
-import type { ProgramNote, SoakRecords } from "./records.ts";
+import type { ProgramRecord, SoakRecords } from "./records.ts";
 
 const RESEND_MILLISECONDS = 100;
 const BUDGET = 4_000;
 
-/** Codes after which only the same request id again gives a definite answer. */
-const INDEFINITE = ["OWNER_LOST", "STREAM_BROKEN", "INTERNAL", "TIMEOUT"];
+/** Codes with an unknown outcome; resending the same request id determines it. */
+const INDEFINITE_CODES = ["OWNER_LOST", "STREAM_BROKEN", "INTERNAL", "TIMEOUT"];
 
-/** What a worker works with. */
+/** Options of {@linkcode ProgramWorker}. */
 export interface WorkerOptions {
   readonly number: number;
   readonly outfit: string;
@@ -24,38 +24,38 @@
   readonly isOver: () => boolean;
 }
 
-interface Ask {
+interface WorkerCall {
   readonly requestId: string;
   readonly kind: "model" | "write" | "read";
   send(client: SiteClient): Promise<SiteAnswer>;
 }
 
-/** Runs programs until the soak is over. */
+/** Runs programs of one outfit. */
 export class ProgramWorker {
   readonly #options: WorkerOptions;
-  #calls = 0;
+  #callCount = 0;
 
   constructor(options: WorkerOptions) {
     this.#options = options;
   }
 
-  /** Runs programs one after the other. */
+  /** Runs programs one after the other until the soak is over. */
   async run(): Promise<void> {
     const { isOver, number } = this.#options;
     for (let round = 0; !isOver(); round++) {
-      const note = await this.#create(`w${number}r${round}`, undefined);
-      if (note === undefined) continue;
-      await this.#runProgram(note);
+      const record = await this.#create(`w${number}r${round}`, undefined);
+      if (record === undefined) continue;
+      await this.#runProgram(record);
     }
   }
 
   async #create(
     id: string,
     parent: string | undefined,
-  ): Promise<ProgramNote | undefined> {
+  ): Promise<ProgramRecord | undefined> {
     const { records, outfit } = this.#options;
     const body = { request_id: id, token_budget: BUDGET, lease_ms: 60_000 };
-    const answer = await this.#persist((client) =>
+    const answer = await this.#sendUntilAnswered((client) =>
       parent === undefined
         ? client.createProgram(body)
         : client.createChild(parent, body)
@@ -64,7 +64,7 @@
       records.count(`create refused ${answer.body?.error?.name}`);
       return undefined;
     }
-    const note: ProgramNote = {
+    const record: ProgramRecord = {
       outfit,
       program: String(answer.body.program),
       budget: BUDGET,
@@ -72,41 +72,43 @@
       calls: [],
       ended: false,
     };
-    records.programs.push(note);
-    return note;
+    records.programs.push(record);
+    return record;
   }
 
-  async #runProgram(note: ProgramNote): Promise<void> {
+  async #runProgram(record: ProgramRecord): Promise<void> {
     const { random, isOver } = this.#options;
     const length = random.between(3, 12);
     for (let call = 0; call < length && !isOver(); call++) {
       const kind = random.between(1, 10);
-      if (kind <= 6) await this.#callModel(note);
-      else if (kind <= 8) await this.#callService(note, "write-reading");
-      else if (kind === 9) await this.#callService(note, "read-stake");
-      else await this.#runChild(note);
+      if (kind <= 6) await this.#callModel(record);
+      else if (kind <= 8) await this.#callService(record, "write-reading");
+      else if (kind === 9) await this.#callService(record, "read-stake");
+      else await this.#runChild(record);
       await sleep(random.between(0, 120));
     }
-    const ended = await this.#persist((client) =>
-      client.endProgram(note.program)
+    const ended = await this.#sendUntilAnswered((client) =>
+      client.endProgram(record.program)
     );
-    note.ended = ended.status === 200;
+    record.ended = ended.status === 200;
   }
 
-  async #runChild(parent: ProgramNote): Promise<void> {
-    const child = await this.#create(`c${this.#calls++}`, parent.program);
+  async #runChild(parent: ProgramRecord): Promise<void> {
+    const child = await this.#create(`c${this.#callCount++}`, parent.program);
     if (child === undefined) return;
     await this.#callModel(child);
-    const ended = await this.#persist((client) =>
+    const ended = await this.#sendUntilAnswered((client) =>
       client.endProgram(child.program)
     );
     child.ended = ended.status === 200;
   }
 
-  async #callModel(note: ProgramNote): Promise<void> {
+  async #callModel(record: ProgramRecord): Promise<void> {
     const { random, outfit, records } = this.#options;
-    const requestId = `m${this.#calls++}`;
-    const question = `${outfit} ${note.program.slice(0, 6)} asks ${requestId}`;
+    const requestId = `m${this.#callCount++}`;
+    const question = `${outfit} ${
+      record.program.slice(0, 6)
+    } asks ${requestId}`;
     const tokens = random.between(1, 24);
     const stream = random.happens(50);
     const messages = [{ role: "user", content: question }];
@@ -116,24 +118,24 @@
       messages,
       max_tokens: tokens,
     };
-    const prompt = [...note.conversation, ...messages];
+    const prompt = [...record.conversation, ...messages];
     const expected = composeAnswer(prompt, tokens);
-    const answer = await this.#ask(note, {
+    const answer = await this.#callUntilDefinite(record, {
       requestId,
       kind: "model",
       send: async (client) => {
-        if (!stream) return await client.callModel(note.program, body);
-        const streamed = await client.streamModel(note.program, body);
-        const told = streamed.text;
-        if (!expected.startsWith(told)) {
-          records.violate("whole answer", `${requestId} was told foreign text`);
+        if (!stream) return await client.callModel(record.program, body);
+        const streamed = await client.streamModel(record.program, body);
+        const receivedText = streamed.text;
+        if (!expected.startsWith(receivedText)) {
+          records.fail("whole answer", `${requestId} was told foreign text`);
         }
         const isAnswered = streamed.status === 200 &&
           streamed.body?.choices !== undefined;
-        if (isAnswered && (!streamed.whole || told !== expected)) {
-          records.violate(
+        if (isAnswered && (!streamed.whole || receivedText !== expected)) {
+          records.fail(
             "whole answer",
-            `${requestId} was told ${told.length} characters`,
+            `${requestId} was told ${receivedText.length} characters`,
           );
         }
         return streamed;
@@ -142,71 +144,83 @@
     if (answer === undefined) return;
     const text = String(answer.body.choices[0].message.content);
     if (text !== expected) {
-      records.violate(
+      records.fail(
         "whole answer",
-        `${note.program} ${requestId}: ${text} is not ${expected}`,
+        `${record.program} ${requestId}: ${text} is not ${expected}`,
       );
     }
-    note.conversation.push(...messages, { role: "assistant", content: text });
+    record.conversation.push(...messages, { role: "assistant", content: text });
   }
 
-  async #callService(note: ProgramNote, operation: string): Promise<void> {
-    const requestId = `s${this.#calls++}`;
+  async #callService(record: ProgramRecord, operation: string): Promise<void> {
+    const requestId = `s${this.#callCount++}`;
     const kind = operation === "read-stake" ? "read" : "write";
-    const payload = { program: note.program, request: requestId };
+    const payload = { program: record.program, request: requestId };
     const body = { request_id: requestId, operation, payload };
-    await this.#ask(note, {
+    await this.#callUntilDefinite(record, {
       requestId,
       kind,
-      send: (client) => client.callService(note.program, SITE_SERVICE, body),
+      send: (client) => client.callService(record.program, SITE_SERVICE, body),
     });
   }
 
-  /** Asks until the answer is definite; returns it if the call was answered. */
-  async #ask(note: ProgramNote, ask: Ask): Promise<SiteAnswer | undefined> {
+  /** Sends a call until its result is definite; returns the answer of a success. */
+  async #callUntilDefinite(
+    record: ProgramRecord,
+    call: WorkerCall,
+  ): Promise<SiteAnswer | undefined> {
     const { records, random } = this.#options;
     for (;;) {
-      const answer = await this.#persist((client) => ask.send(client));
+      const answer = await this.#sendUntilAnswered((client) =>
+        call.send(client)
+      );
       const error = answer.body?.error;
       if (answer.status === 200 && error === undefined) {
         const { turn, digest } = answer.body;
-        note.calls.push({
-          ...describe(ask),
+        record.calls.push({
+          ...describeCall(call),
           code: "OK",
           notRun: false,
           turn,
           digest,
         });
-        records.count(`${ask.kind} answered`);
+        records.count(`${call.kind} answered`);
         return answer;
       }
       const code = String(error?.name);
-      records.count(`${ask.kind} refused ${code}`);
-      const isIndefinite = INDEFINITE.includes(code) || error?.by === "entry";
-      const comesBack = error?.not_run === true && random.happens(50);
-      if (isIndefinite || comesBack) {
+      records.count(`${call.kind} refused ${code}`);
+      const isIndefinite = INDEFINITE_CODES.includes(code) ||
+        error?.by === "entry";
+      const retriesRefusal = error?.not_run === true && random.happens(50);
+      if (isIndefinite || retriesRefusal) {
         await sleep(
           Math.min(error?.retry_after_ms ?? 0, 500) + RESEND_MILLISECONDS,
         );
         continue;
       }
       const notRun = error?.not_run === true;
-      note.calls.push({ ...describe(ask), code, notRun, turn: 0, digest: "" });
+      record.calls.push({
+        ...describeCall(call),
+        code,
+        notRun,
+        turn: 0,
+        digest: "",
+      });
       return undefined;
     }
   }
 
-  /** Sends to one entry or the other until a connection holds. */
-  async #persist(
+  /** Sends to random entries until one returns a complete answer. */
+  async #sendUntilAnswered(
     send: (client: SiteClient) => Promise<SiteAnswer>,
   ): Promise<SiteAnswer> {
     const { clients, random, records } = this.#options;
     for (;;) {
       try {
         const answer = await send(random.choose(clients));
-        const isCut = answer.status === 200 && answer.body === undefined;
-        if (!isCut && answer.body?.error?.by !== "entry") return answer;
-        if (isDefiniteAtEntry(answer)) return answer;
+        const isCutOff = answer.status === 200 && answer.body === undefined;
+        if (!isCutOff && answer.body?.error?.by !== "entry") return answer;
+        if (isClientError(answer)) return answer;
         records.count(`entry refused ${answer.body?.error?.name ?? "cut"}`);
       } catch {
         records.count("connection lost");
@@ -216,11 +230,13 @@
   }
 }
 
-function describe(ask: Ask): Pick<Ask, "requestId" | "kind"> {
-  return { requestId: ask.requestId, kind: ask.kind };
+function describeCall(
+  call: WorkerCall,
+): Pick<WorkerCall, "requestId" | "kind"> {
+  return { requestId: call.requestId, kind: call.kind };
 }
 
-/** Mistakes of the caller are the same at every entry and every time. */
-function isDefiniteAtEntry(answer: SiteAnswer): boolean {
+/** Returns true for a client error, which every entry would return again. */
+function isClientError(answer: SiteAnswer): boolean {
   return answer.status >= 400 && answer.status < 500;
 }
--- a/packages/bench/src/soak/random.ts
+++ b/packages/bench/src/soak/random.ts
@@ -1,4 +1,4 @@
-/** Seeded random choices. */
+/** Random choices that are reproducible by their seed. */
 
 import {
   type RandomGenerator,
@@ -6,7 +6,7 @@
   xoroshiro128plus,
 } from "pure-rand";
 
-/** A stream of random numbers that a seed determines. */
+/** A stream of random numbers that is determined by a seed. */
 export class Random {
   readonly #generator: RandomGenerator;
 
@@ -14,21 +14,21 @@
     this.#generator = xoroshiro128plus(seed);
   }
 
-  /** Returns a whole number from the least to the most, both included. */
+  /** Returns an integer between two bounds, both included. */
   between(least: number, most: number): number {
     return unsafeUniformIntDistribution(least, most, this.#generator);
   }
 
-  /** Returns true so many times in a hundred. */
+  /** Returns true with a probability in percent. */
   happens(percent: number): boolean {
     return this.between(1, 100) <= percent;
   }
 
-  /** Returns one of the choices. */
+  /** Returns a random element; throws if there is none. */
   choose<T>(choices: readonly T[]): T {
     const choice = choices[this.between(0, choices.length - 1)];
     if (choice === undefined) {
-      throw new Error("There is nothing to choose from");
+      throw new Error("The list of choices is empty");
     }
     return choice;
   }
--- a/packages/bench/src/soak/records.ts
+++ b/packages/bench/src/soak/records.ts
@@ -1,44 +1,49 @@
-/** What the callers of a soak know of their own calls. */
+/** Records of the callers of a soak: their programs, calls and violations. */
 
 import type { ChatMessage } from "@mallowlift/core";
 
-/** One call with its definite end, as its caller saw it. */
-export interface CallNote {
+/** One call with its final result, as its caller received it. */
+export interface CallRecord {
   readonly requestId: string;
   readonly kind: "model" | "write" | "read";
-  /** Result code name of the definite end. */
+  /** Name of the final result code. */
   readonly code: string;
-  /** True if a refusal said "not run". */
+  /** True if the call was refused as not run. */
   readonly notRun: boolean;
+  /** Number of the turn, from 1; 0 if the call was refused. */
   readonly turn: number;
+  /** Digest of the history after the turn; empty if the call was refused. */
   readonly digest: string;
 }
 
-/** One program, as its caller saw it. */
-export interface ProgramNote {
+/** One program, as its caller recorded it. */
+export interface ProgramRecord {
   readonly outfit: string;
   readonly program: string;
+  /** Token budget. */
   readonly budget: number;
-  /** Prompt and answers that the caller expects the system to keep. */
+  /** Messages and answers of the history that the caller expects. */
   readonly conversation: ChatMessage[];
-  readonly calls: CallNote[];
+  readonly calls: CallRecord[];
+  /** True if the end of the program was acknowledged. */
   ended: boolean;
 }
 
-/** A promise of the system that was seen broken. */
+/** One violation of a promise. */
 export interface Violation {
   readonly invariant: string;
   readonly details: string;
 }
 
-/** Collects what was seen. */
+/** Collects programs, violations and counts of events. */
 export class SoakRecords {
-  readonly programs: ProgramNote[] = [];
+  readonly programs: ProgramRecord[] = [];
   readonly violations: Violation[] = [];
+  /** Number of events, by name. */
   readonly counts = new Map<string, number>();
 
-  /** Notes a broken promise. */
-  violate(invariant: string, details: string): void {
+  /** Records a violation of a promise. */
+  fail(invariant: string, details: string): void {
     this.violations.push({ invariant, details });
   }
 
@@ -47,7 +52,7 @@
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
   }
 
-  /** Calls with a definite end. */
+  /** Number of calls that have a final result. */
   get callCount(): number {
     return this.programs.reduce(
       (sum, program) => sum + program.calls.length,
--- a/packages/bench/src/soak/run_soak.ts
+++ b/packages/bench/src/soak/run_soak.ts
@@ -1,4 +1,4 @@
-/** Mixes faults over a live small site and checks every promise from outside. */
+/** Injects faults into a small running site and checks every promise. */
 
 import { mkdirSync, rmSync } from "node:fs";
 import { join } from "node:path";
@@ -17,31 +17,35 @@
 
 const ENGINES = 3;
 const SERVICES = 2;
-const MAX_SETTLE_MILLISECONDS = 60_000;
-const IN_FORCE_MILLISECONDS = 11_000;
+const MAX_FINISH_MILLISECONDS = 60_000;
+const CONFIGURATION_MILLISECONDS = 11_000;
 
-/** How long and hard a soak is. */
+/** Seed, duration and load of a soak. */
 export interface SoakPlan {
   readonly seed: number;
+  /** Time for which faults are injected, s. */
   readonly seconds: number;
+  /** Number of concurrent callers. */
   readonly workers: number;
+  /** Folder of the site's data; it is deleted first. */
   readonly folder: string;
+  /** Called with a line for each fault. */
   readonly print: (line: string) => void;
 }
 
-/** What a soak found. */
+/** Result of a soak. */
 export interface SoakResult {
   readonly records: SoakRecords;
   readonly verdicts: readonly SoakVerdict[];
 }
 
-/** Whether one promise was seen broken. */
+/** Number of violations of one promise. */
 export interface SoakVerdict {
   readonly invariant: string;
   readonly violations: number;
 }
 
-/** Runs a soak. */
+/** Runs a soak of entries, replicas and sidecars. */
 export async function runSoak(plan: SoakPlan): Promise<SoakResult> {
   rmSync(plan.folder, { recursive: true, force: true });
   mkdirSync(join(plan.folder, "logs"), { recursive: true });
@@ -79,15 +83,15 @@
   return { records, verdicts };
 }
 
-interface SoakParts {
+interface SoakContext {
   readonly site: Site;
   readonly engines: readonly FakeEngine[];
   readonly services: readonly FakeService[];
   readonly records: SoakRecords;
 }
 
-async function runLoad(plan: SoakPlan, parts: SoakParts): Promise<void> {
-  const { site, records } = parts;
+async function runLoad(plan: SoakPlan, context: SoakContext): Promise<void> {
+  const { site, records } = context;
   const north = site.entryUrls.map((url) =>
     new SiteClient(url, OUTFIT_TOKENS.NORTH)
   );
@@ -112,7 +116,7 @@
     }).run();
   });
   const operators = raceOperators({ clients: north, records, isOver });
-  await injectFaults(parts, {
+  await injectFaults(context, {
     random: new Random(plan.seed),
     records,
     isOver,
@@ -122,30 +126,30 @@
     if (!daemon.process.isRunning) daemon.process.start();
   }
   await site.waitUntilHealthy();
-  const settled = Promise.all(workers).then(() => true);
-  const isSettled = await Promise.race([
-    settled,
-    sleep(MAX_SETTLE_MILLISECONDS),
+  const finished = Promise.all(workers).then(() => true);
+  const isFinished = await Promise.race([
+    finished,
+    sleep(MAX_FINISH_MILLISECONDS),
   ]);
-  if (isSettled !== true) {
-    records.violate("whole answer", "A caller got no definite answer");
+  if (isFinished !== true) {
+    records.fail("whole answer", "A caller got no definite answer");
   }
   await operators;
-  await checkRevision(site, { client: first, records });
+  await checkConfiguration(site, { client: first, records });
   await checkInvariants({
-    ...parts,
+    ...context,
     findClient: (outfit) => (outfit === "north" ? north : south)[0] ?? first,
   });
   for (const client of [...north, ...south]) client.close();
 }
 
-/** Every daemon must have the newest revision in force within the limit. */
-async function checkRevision(
+/** Checks that all daemons but replicas apply the newest revision within the limit. */
+async function checkConfiguration(
   site: Site,
   options: { readonly client: SiteClient; readonly records: SoakRecords },
 ): Promise<void> {
   const { client, records } = options;
-  const deadline = Date.now() + IN_FORCE_MILLISECONDS;
+  const deadline = Date.now() + CONFIGURATION_MILLISECONDS;
   let lagging: readonly string[] = [];
   while (Date.now() < deadline) {
     const status = await client.send({
@@ -157,10 +161,10 @@
       revision: number;
       followers: readonly { daemonId: string; revision: number }[];
     };
-    const wanted = site.daemons.filter((daemon) =>
+    const expectedDaemons = site.daemons.filter((daemon) =>
       daemon.plan.role !== "replica"
     );
-    lagging = wanted.map((daemon) => daemon.plan.name).filter((name) =>
+    lagging = expectedDaemons.map((daemon) => daemon.plan.name).filter((name) =>
       !followers.some((known) =>
         known.daemonId === name && known.revision === revision
       )
@@ -168,5 +172,5 @@
     if (lagging.length === 0) return;
     await sleep(200);
   }
-  records.violate("configuration in force", `${lagging.join(", ")} lag`);
+  records.fail("configuration in force", `${lagging.join(", ")} lag`);
 }
--- a/packages/bench/src/soak/soak.ts
+++ b/packages/bench/src/soak/soak.ts
@@ -41,10 +41,10 @@
     folder: resolve(".site", `soak-${seed}`),
     print,
   });
-  return report(seed, result);
+  return reportResult(seed, result);
 }
 
-function report(seed: number, result: SoakResult): boolean {
+function reportResult(seed: number, result: SoakResult): boolean {
   const { records, verdicts } = result;
   const counts = Object.fromEntries([...records.counts].sort());
   for (const [name, count] of Object.entries(counts)) {
