--- a/packages/core/src/logs/log_queue.ts
+++ b/packages/core/src/logs/log_queue.ts
@@ -1,25 +1,29 @@
-/** Writes log lines without ever waiting for whoever reads them. */
+/**
+ * Buffers log lines so that a slow reader of the log never blocks the daemon.
+ */
 
 import { performance } from "node:perf_hooks";
 import { Buffer } from "node:buffer";
 import { write } from "node:fs";
 import { sleep } from "../shared/sleep.ts";
 
-/** Bytes that may wait, chosen to hold some seconds of a busy daemon's lines. */
-const MAX_WAITING_BYTES = 1_048_576;
-/** Lines are gathered for this long, ms, so that one write serves many. */
-const GATHER_MILLISECONDS = 200;
+/**
+ * Maximum size of the queued lines: some seconds of the log of a busy daemon.
+ */
+const MAX_PENDING_BYTES = 1_048_576;
+/** Delay before queued lines are written, ms, so that they share one write. */
+const FLUSH_DELAY_MILLISECONDS = 200;
 
-/** Time between two looks at what is left when the queue closes, ms. */
-const CLOSE_LOOK_MILLISECONDS = 5;
+/** Polling interval while the queue closes, ms. */
+const CLOSE_POLL_MILLISECONDS = 5;
 
-/** Writes some bytes and calls back. */
+/** Writes bytes and calls back with the number of written bytes or an error. */
 export type WriteBytes = (
   bytes: Buffer,
   done: (written: number, failure: Error | undefined) => void,
 ) => void;
 
-/** Writes to standard output on another thread. */
+/** Writes to standard output asynchronously, on another thread. */
 export function writeToStandardOutput(
   bytes: Buffer,
   done: (written: number, failure: Error | undefined) => void,
@@ -32,13 +36,13 @@
 }
 
 /**
- * A bounded queue of lines with one writer. Lines that do not fit are dropped
- * and counted; the count is written once there is room again.
+ * A bounded queue of log lines with one writer. Lines that exceed the bound are
+ * dropped, and the number of dropped lines is logged with the next write.
  */
 export class LogQueue {
   readonly #write: WriteBytes;
   #lines: string[] = [];
-  #waitingBytes = 0;
+  #pendingBytes = 0;
   #dropped = 0;
   #isWriting = false;
   #timer: NodeJS.Timeout | undefined;
@@ -47,66 +51,69 @@
     this.#write = write;
   }
 
-  /** Takes one line with its line feed. */
+  /** Queues a line, which must end with a line feed, or drops it. */
   write(line: string): void {
-    if (this.#waitingBytes + line.length > MAX_WAITING_BYTES) {
+    if (this.#pendingBytes + line.length > MAX_PENDING_BYTES) {
       this.#dropped++;
       return;
     }
     this.#lines.push(line);
-    this.#waitingBytes += line.length;
+    this.#pendingBytes += line.length;
     if (this.#timer !== undefined || this.#isWriting) return;
-    this.#timer = setTimeout(() => this.flush(), GATHER_MILLISECONDS);
+    this.#timer = setTimeout(() => this.flush(), FLUSH_DELAY_MILLISECONDS);
   }
 
-  /** Starts to write what waits. */
+  /** Starts to write the queued lines unless a write is in progress. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
     if (this.#isWriting || this.#lines.length === 0) return;
-    if (this.#dropped > 0) this.#lines.push(this.#describeDrops());
+    if (this.#dropped > 0) this.#lines.push(this.#formatDropRecord());
     const bytes = Buffer.from(this.#lines.join(""));
     this.#lines = [];
     this.#isWriting = true;
-    this.#writeRest(bytes);
+    this.#writeAll(bytes);
   }
 
-  /** Writes what waits, but waits for it no longer than the limit. */
+  /**
+   * Writes the queued lines and waits until they are written, up to the limit.
+   */
   async close(limitMilliseconds: number): Promise<void> {
     this.flush();
-    const until = performance.now() + limitMilliseconds;
+    const deadline = performance.now() + limitMilliseconds;
     while (
-      (this.#isWriting || this.#lines.length > 0) && performance.now() < until
+      (this.#isWriting || this.#lines.length > 0) &&
+      performance.now() < deadline
     ) {
-      await sleep(CLOSE_LOOK_MILLISECONDS);
+      await sleep(CLOSE_POLL_MILLISECONDS);
     }
   }
 
-  #writeRest(bytes: Buffer): void {
+  #writeAll(bytes: Buffer): void {
     this.#write(bytes, (written, failure) => {
       const isBusy = failure !== undefined &&
         (failure as NodeJS.ErrnoException).code === "EAGAIN";
-      if (failure !== undefined && !isBusy) return this.#finish();
+      if (failure !== undefined && !isBusy) return this.#finishWrite();
       if (written < bytes.length) {
         const rest = bytes.subarray(written);
         setTimeout(
-          () => this.#writeRest(rest),
-          isBusy ? GATHER_MILLISECONDS : 0,
+          () => this.#writeAll(rest),
+          isBusy ? FLUSH_DELAY_MILLISECONDS : 0,
         );
         return;
       }
-      this.#finish();
+      this.#finishWrite();
     });
   }
 
-  #finish(): void {
+  #finishWrite(): void {
     this.#isWriting = false;
-    this.#waitingBytes = 0;
-    for (const line of this.#lines) this.#waitingBytes += line.length;
+    this.#pendingBytes = 0;
+    for (const line of this.#lines) this.#pendingBytes += line.length;
     this.flush();
   }
 
-  #describeDrops(): string {
+  #formatDropRecord(): string {
     const dropped = this.#dropped;
     this.#dropped = 0;
     const record = { level: 40, msg: "log: Lines dropped", dropped };
--- a/packages/core/src/logs/log_queue_test.ts
+++ b/packages/core/src/logs/log_queue_test.ts
@@ -2,7 +2,7 @@
 import { test } from "tap";
 import { LogQueue } from "./log_queue.ts";
 
-test("a reader that stops reading blocks nothing, and drops are counted", (t) => {
+test("a reader that stops reading does not block the writer, and dropped lines are counted", (t) => {
   const written: string[] = [];
   let resume: (() => void) | undefined;
   const queue = new LogQueue((bytes: Buffer, done) => {
@@ -13,7 +13,7 @@
   queue.write(line);
   queue.flush();
   for (let count = 0; count < 5_000; count++) queue.write(line);
-  t.equal(written.length, 1, "one write is under way");
+  t.equal(written.length, 1, "one write is in progress");
   resume?.();
   t.equal(written.length, 2);
   const lines = written[1]?.trimEnd().split("\n") ?? [];
--- a/packages/core/src/logs/logger.ts
+++ b/packages/core/src/logs/logger.ts
@@ -1,20 +1,20 @@
-/** Structured logs. Callers' content is never passed to a logger. */
+/** Structured logging. Content of callers must never be logged. */
 
 import Bunyan from "bunyan";
 import { LogQueue } from "./log_queue.ts";
 
-/** Facts that go with a log sentence. */
-export type LogFacts = Readonly<
+/** Fields of a log record. */
+export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Writes short sentences, each with the fixed prefix of one part. */
+/** Writes short messages with a prefix that names the part of the daemon. */
 export interface Logger {
-  debug(sentence: string, facts?: LogFacts): void;
-  info(sentence: string, facts?: LogFacts): void;
-  warn(sentence: string, facts?: LogFacts): void;
-  error(sentence: string, facts?: LogFacts): void;
-  /** Returns a logger with the prefix of another part. */
+  debug(message: string, fields?: LogFields): void;
+  info(message: string, fields?: LogFields): void;
+  warn(message: string, fields?: LogFields): void;
+  error(message: string, fields?: LogFields): void;
+  /** Returns a logger that uses the name of another part as its prefix. */
   forPart(part: string): Logger;
 }
 
@@ -27,20 +27,20 @@
     this.#part = part;
   }
 
-  debug(sentence: string, facts: LogFacts = {}): void {
-    this.#sink.debug(facts, `${this.#part}: ${sentence}`);
+  debug(message: string, fields: LogFields = {}): void {
+    this.#sink.debug(fields, `${this.#part}: ${message}`);
   }
 
-  info(sentence: string, facts: LogFacts = {}): void {
-    this.#sink.info(facts, `${this.#part}: ${sentence}`);
+  info(message: string, fields: LogFields = {}): void {
+    this.#sink.info(fields, `${this.#part}: ${message}`);
   }
 
-  warn(sentence: string, facts: LogFacts = {}): void {
-    this.#sink.warn(facts, `${this.#part}: ${sentence}`);
+  warn(message: string, fields: LogFields = {}): void {
+    this.#sink.warn(fields, `${this.#part}: ${message}`);
   }
 
-  error(sentence: string, facts: LogFacts = {}): void {
-    this.#sink.error(facts, `${this.#part}: ${sentence}`);
+  error(message: string, fields: LogFields = {}): void {
+    this.#sink.error(fields, `${this.#part}: ${message}`);
   }
 
   forPart(part: string): Logger {
@@ -48,7 +48,7 @@
   }
 }
 
-/** Makes the logger of a daemon; records go to standard output. */
+/** Creates the logger of a daemon; by default it writes to standard output. */
 export function createLogger(
   name: string,
   level: "debug" | "info" | "warn" | "error",
@@ -57,13 +57,13 @@
   const sink = Bunyan.createLogger({
     name,
     level,
-    // bunyan needs no more of a stream than its write method.
+    // Bunyan only uses the write method of the stream.
     stream: stream as unknown as NodeJS.WritableStream,
   });
   return new BunyanLogger(sink, "daemon");
 }
 
-/** A logger that drops everything, for tests. */
+/** A logger that discards all messages, for tests. */
 export const SILENT_LOGGER: Logger = {
   debug: () => undefined,
   info: () => undefined,
--- a/packages/core/src/logs/repeat_limit.ts
+++ b/packages/core/src/logs/repeat_limit.ts
@@ -1,54 +1,57 @@
-/** Keeps log lines that say the same again within a bound. */
+/** Limits the rate of repeated log lines. */
 
-/** Subjects that are remembered; the oldest is forgotten first. */
+/** Maximum number of tracked subjects; the oldest is evicted first. */
 const MAX_SUBJECTS = 1_000;
 
-interface Subject {
-  writtenAt: number;
-  heldBack: number;
+interface SubjectState {
+  lastWrittenAt: number;
+  suppressed: number;
 }
 
 /**
- * Lets one line a subject through in each span of time, and counts the others.
- * One looping program asked for 1,897 lines in 45 s, counted in the log of a
- * store; with a span of 10 s it asks for five.
+ * Allows one log line per subject and interval, and counts the suppressed ones.
+ * Without it, one program that called in a loop caused 1,897 lines in 45 s in
+ * the log of a store; with an interval of 10 s it causes five.
  *
  * @example
  * ```ts
  * const limit = new RepeatLimit(10_000);
  * limit.take("program-1", 0); // 0: write the line
- * limit.take("program-1", 20); // undefined: hold it back
- * limit.take("program-1", 10_000); // 1: write it, and that one was held back
+ * limit.take("program-1", 20); // undefined: suppress the line
+ * limit.take("program-1", 10_000); // 1: write the line; one was suppressed
  * ```
  */
 export class RepeatLimit {
-  readonly #spanMilliseconds: number;
-  readonly #subjects = new Map<string, Subject>();
+  readonly #intervalMilliseconds: number;
+  readonly #subjects = new Map<string, SubjectState>();
 
-  /** @param spanMilliseconds least time between two lines of one subject */
-  constructor(spanMilliseconds: number) {
-    this.#spanMilliseconds = spanMilliseconds;
+  /** @param intervalMilliseconds minimum time between two lines of a subject */
+  constructor(intervalMilliseconds: number) {
+    this.#intervalMilliseconds = intervalMilliseconds;
   }
 
   /**
-   * Asks for a line.
+   * Decides whether a line about the subject may be written now.
    *
-   * @returns how many were held back since the last one, or undefined if this
-   * one is held back too
+   * @returns the number of lines suppressed since the last written one, or
+   * undefined if this line is to be suppressed too
    */
   take(subject: string, now: number): number | undefined {
     const known = this.#subjects.get(subject);
-    if (known !== undefined && now - known.writtenAt < this.#spanMilliseconds) {
-      known.heldBack++;
+    if (
+      known !== undefined &&
+      now - known.lastWrittenAt < this.#intervalMilliseconds
+    ) {
+      known.suppressed++;
       return undefined;
     }
     this.#subjects.delete(subject);
-    this.#subjects.set(subject, { writtenAt: now, heldBack: 0 });
-    this.#forgetOldest();
-    return known?.heldBack ?? 0;
+    this.#subjects.set(subject, { lastWrittenAt: now, suppressed: 0 });
+    this.#evictOldest();
+    return known?.suppressed ?? 0;
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     if (this.#subjects.size <= MAX_SUBJECTS) return;
     const [oldest] = this.#subjects.keys();
     if (oldest !== undefined) this.#subjects.delete(oldest);
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of one daemon. */
+/** Prometheus metrics of a daemon. */
 
 import {
   collectDefaultMetrics,
@@ -28,13 +28,13 @@
 const SNAPSHOT_BUCKETS = [0.05, 0.25, 1, 2.5, 5, 10, 20, 60];
 
 /**
- * Time between two looks at the lag of the event loop, ms. The library's own
- * 10 ms wake an idle process a hundred times a second; four looks a second
- * still show a process that lags.
+ * Sampling interval of the event loop lag, ms. The library's default of 10 ms
+ * wakes an idle process a hundred times a second; four samples a second still
+ * show a process that lags.
  */
-const LAG_LOOK_MILLISECONDS = 250;
+const LAG_SAMPLE_MILLISECONDS = 250;
 
-/** All counters, gauges and histograms that a daemon keeps. */
+/** All counters, gauges and histograms of a daemon. */
 export interface Metrics {
   readonly registry: Registry;
   readonly refusals: Counter<"part" | "reason">;
@@ -64,12 +64,12 @@
   readonly peerBytes: Counter<"direction">;
 }
 
-/** Makes an empty set of metrics. */
+/** Creates the metrics of a daemon in a registry of their own. */
 export function createMetrics(): Metrics {
   const registry = new Registry();
   collectDefaultMetrics({
     register: registry,
-    eventLoopMonitoringPrecision: LAG_LOOK_MILLISECONDS,
+    eventLoopMonitoringPrecision: LAG_SAMPLE_MILLISECONDS,
   });
   const registers = [registry];
   return {
@@ -223,7 +223,7 @@
   };
 }
 
-/** Counts a refusal under its part and reason. */
+/** Counts a refused request by part and result code. */
 export function countRefusal(
   metrics: Metrics,
   part: string,
@@ -232,7 +232,7 @@
   metrics.refusals.inc({ part, reason: code.name });
 }
 
-/** Counts a retry under its part and reason. */
+/** Counts a retry by part and result code. */
 export function countRetry(
   metrics: Metrics,
   part: string,
--- a/packages/core/src/mod.ts
+++ b/packages/core/src/mod.ts
@@ -1,4 +1,4 @@
-/** What every package of mallowlift shares. */
+/** Types and utilities that all packages of mallowlift share. */
 
 export * from "./types/mod.ts";
 export * from "./result/result_codes.ts";
--- a/packages/core/src/result/coded_error.ts
+++ b/packages/core/src/result/coded_error.ts
@@ -1,4 +1,4 @@
-/** The error value that every fallible function of mallowlift returns. */
+/** Errors with a result code, as returned by every fallible function. */
 
 import { Err, Result } from "ts-results";
 import {
@@ -7,19 +7,19 @@
   type ResultCode,
 } from "./result_codes.ts";
 
-/** An error with a result code, safe to show to the caller it belongs to. */
+/** An error with a result code; its message is safe to show to the caller. */
 export interface CodedError {
   readonly code: ResultCode;
-  /** One sentence in sentence case, without caller content. */
+  /** One sentence in sentence case, without content of the caller. */
   readonly message: string;
-  /** Milliseconds after which a retry makes sense, if one does. */
+  /** Time after which the caller may retry; missing if a retry is pointless. */
   readonly retryAfterMilliseconds?: number;
 }
 
-/** Result of a fallible function. */
+/** Result of a fallible function: a value or a coded error. */
 export type Outcome<T> = Result<T, CodedError>;
 
-/** A coded error in the form that goes over internal connections. */
+/** A coded error as it is sent over internal connections. */
 export interface WireError {
   readonly code: string;
   readonly message: string;
@@ -27,7 +27,7 @@
 }
 
 /**
- * Makes the failed half of an {@linkcode Outcome}.
+ * Creates a failed {@linkcode Outcome}.
  *
  * @example
  * ```ts
@@ -39,8 +39,8 @@
   message: string,
   retryAfterMilliseconds?: number,
 ): Err<CodedError> {
-  // ts-results formats a stack for each error value, which cost a third of an
-  // entry's time; a refusal is no surprise and needs none.
+  // ts-results formats a stack trace for each error value, which took a third of
+  // an entry's processor time. An expected refusal needs no stack trace.
   const limit = Error.stackTraceLimit;
   Error.stackTraceLimit = 0;
   const failure = Err({ code, message, retryAfterMilliseconds });
@@ -48,7 +48,7 @@
   return failure;
 }
 
-/** Converts an error for an internal connection. */
+/** Encodes an error for an internal connection. */
 export function encodeError(error: CodedError): WireError {
   return {
     code: error.code.name,
@@ -57,7 +57,7 @@
   };
 }
 
-/** Converts an error read from an internal connection. */
+/** Decodes an error that was received over an internal connection. */
 export function decodeError(error: WireError): CodedError {
   return {
     code: findResultCode(error.code),
@@ -66,7 +66,7 @@
   };
 }
 
-/** Converts anything thrown into a coded error, keeping its message. */
+/** Converts a thrown value to a coded error with the same message. */
 export function describeThrown(thrown: unknown): CodedError {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   return { code: RESULT_CODES.INTERNAL, message };
--- a/packages/core/src/result/result_codes.ts
+++ b/packages/core/src/result/result_codes.ts
@@ -1,19 +1,21 @@
 /**
- * The numbered result codes of mallowlift. `docs/RESULT_CODES.md` holds the
- * same table for readers and is checked against this module by a test.
+ * The numbered result codes of mallowlift. A test checks that the table in
+ * `docs/RESULT_CODES.md` matches this module.
  */
 
 /** One row of the result code table. */
 export interface ResultCode {
-  /** Stable number, shown to callers. */
+  /** Stable number that callers receive. */
   readonly number: number;
   /** Stable name, used in metrics and logs. */
   readonly name: string;
-  /** HTTP status that carries the code to callers and operators. */
+  /** HTTP status of answers with this code. */
   readonly httpStatus: number;
-  /** True if the code promises that the call did not run and will not run. */
+  /** True if the code guarantees that the call did not run and will not run. */
   readonly notRun: boolean;
-  /** What the code means, in one sentence. */
+  /**
+   * Meaning of the code, in one or two sentences; often sent as the message.
+   */
   readonly meaning: string;
 }
 
@@ -25,7 +27,7 @@
   return { number, name, ...details };
 }
 
-/** Every result code, by name. */
+/** All result codes, by name. */
 export const RESULT_CODES = {
   OK: defineCode(0, "OK", {
     httpStatus: 200,
@@ -298,7 +300,8 @@
 export type ResultCodeName = keyof typeof RESULT_CODES;
 
 /**
- * Finds a result code by its name, as read from a peer.
+ * Finds a result code by a name received from a peer; unknown names map to
+ * INTERNAL.
  *
  * @example
  * ```ts
--- a/packages/core/src/settings/describe_settings.ts
+++ b/packages/core/src/settings/describe_settings.ts
@@ -1,4 +1,4 @@
-/** Renders the settings schema as the table in docs/CONFIGURATION.md. */
+/** Renders the settings schema as the tables in docs/CONFIGURATION.md. */
 
 import type { Field } from "./fields.ts";
 import { convertToFileKey } from "./load_settings.ts";
@@ -18,7 +18,7 @@
       const cells = [
         `\`${convertToFileKey(key)}\``,
         field.allowed,
-        describeFallback(field),
+        formatDefault(field),
         field.description,
       ];
       lines.push(`| ${cells.join(" | ")} |`);
@@ -28,7 +28,7 @@
   return lines.join("\n");
 }
 
-function describeFallback(field: Field<unknown>): string {
+function formatDefault(field: Field<unknown>): string {
   if (field.fallback !== undefined) return `\`${String(field.fallback)}\``;
   if (field.roles !== undefined) {
     return `required for ${field.roles.join(", ")}`;
--- a/packages/core/src/settings/fields.ts
+++ b/packages/core/src/settings/fields.ts
@@ -1,14 +1,14 @@
-/** Kinds of settings values: how each is read, checked and described. */
+/** Kinds of settings values: how each is parsed, validated and described. */
 
-/** How one kind of value is read from the text in the INI file. */
+/** Parses and describes one kind of value in the INI file. */
 export interface Field<T> {
-  /** Value when the key is missing; undefined if the key is required. */
+  /** Default if the key is missing; undefined if the key is required. */
   readonly fallback: T | undefined;
-  /** What is allowed, in words. */
+  /** Describes the allowed values. */
   readonly allowed: string;
-  /** What the key means, in one sentence. */
+  /** Describes the key in one sentence. */
   readonly description: string;
-  /** Roles that need the key; missing if every daemon does. */
+  /** Roles that require the key; missing if every daemon requires it. */
   readonly roles?: readonly string[];
   /** Returns the value, or undefined if the text is not allowed. */
   parse(text: string): T | undefined;
@@ -19,7 +19,7 @@
   readonly roles?: readonly string[];
 }
 
-/** A text that is not empty. */
+/** A text field that must not be empty. */
 export function textField(
   description: string,
   options: FieldOptions<string> = {},
@@ -33,53 +33,49 @@
   };
 }
 
-/** A whole number within limits. */
+/** A whole number in a range. */
 export function numberField(
   description: string,
   options: FieldOptions<number> & {
-    readonly least: number;
-    readonly most: number;
+    readonly min: number;
+    readonly max: number;
   },
 ): Field<number> {
   return {
     fallback: options.fallback,
     roles: options.roles,
     description,
-    allowed: `a whole number from ${options.least} to ${options.most}`,
+    allowed: `a whole number from ${options.min} to ${options.max}`,
     parse(text) {
       if (!/^\d{1,15}$/.test(text)) return undefined;
       const value = Number(text);
-      return value >= options.least && value <= options.most
-        ? value
-        : undefined;
+      return value >= options.min && value <= options.max ? value : undefined;
     },
   };
 }
 
-/** A decimal number within limits. */
+/** A decimal number in a range. */
 export function decimalField(
   description: string,
   options: FieldOptions<number> & {
-    readonly least: number;
-    readonly most: number;
+    readonly min: number;
+    readonly max: number;
   },
 ): Field<number> {
   return {
     fallback: options.fallback,
     roles: options.roles,
     description,
-    allowed: `a number from ${options.least} to ${options.most}`,
+    allowed: `a number from ${options.min} to ${options.max}`,
     parse(text) {
       if (!/^\d{1,12}(\.\d{1,12})?$/.test(text)) return undefined;
       const value = Number(text);
-      return value >= options.least && value <= options.most
-        ? value
-        : undefined;
+      return value >= options.min && value <= options.max ? value : undefined;
     },
   };
 }
 
-/** One of a few words. */
+/** One of several choices. */
 export function choiceField<T extends string>(
   description: string,
   options: FieldOptions<T> & { readonly choices: readonly T[] },
@@ -93,8 +89,8 @@
   };
 }
 
-/** Words from a set, separated by commas. */
-export function wordsField<T extends string>(
+/** One or more of several choices, separated by commas. */
+export function choicesField<T extends string>(
   description: string,
   options: FieldOptions<readonly T[]> & { readonly choices: readonly T[] },
 ): Field<readonly T[]> {
@@ -118,7 +114,7 @@
   };
 }
 
-/** An address of the form host:port, with an IP number as the host. */
+/** An address of the form host:port, where the host is an IP address. */
 export function addressField(
   description: string,
   options: FieldOptions<string> = {},
@@ -132,13 +128,13 @@
   };
 }
 
-/** A replica as other daemons find it. */
+/** Id and address of a replica, as other daemons connect to it. */
 export interface ReplicaAddress {
   readonly replicaId: string;
   readonly address: string;
 }
 
-/** A list of id=host:port, separated by commas. */
+/** A list of replicas of the form id=host:port, separated by commas. */
 export function replicasField(
   description: string,
   options: FieldOptions<readonly ReplicaAddress[]> = {},
@@ -164,7 +160,7 @@
   };
 }
 
-/** A list of addresses, separated by commas; an empty one is allowed. */
+/** A list of addresses, separated by commas; it may be empty. */
 export function addressesField(
   description: string,
   options: FieldOptions<readonly string[]> = {},
@@ -182,7 +178,7 @@
   };
 }
 
-/** An HTTP address of an upstream. */
+/** An HTTP or HTTPS URL without a path. */
 export function urlField(
   description: string,
   options: FieldOptions<string> = {},
@@ -196,7 +192,7 @@
   };
 }
 
-/** A SHA-256 in hexadecimal. */
+/** A SHA-256 in lowercase hexadecimal. */
 export function digestField(
   description: string,
   options: FieldOptions<string> = {},
--- a/packages/core/src/settings/load_settings.ts
+++ b/packages/core/src/settings/load_settings.ts
@@ -1,4 +1,4 @@
-/** Reads and checks a settings file, whole. */
+/** Reads a settings file, validates it and reports every mistake in it. */
 
 import { readFileSync } from "node:fs";
 import { parse } from "ini";
@@ -10,9 +10,9 @@
 export interface SettingsMistake {
   readonly section: string;
   readonly key: string;
-  /** The text that was read; empty if the key is missing. */
+  /** The text in the file; empty if the key is missing. */
   readonly read: string;
-  /** What is allowed there. */
+  /** Describes what is allowed instead. */
   readonly allowed: string;
 }
 
@@ -20,13 +20,13 @@
 type SchemaTable = Readonly<Record<string, FieldTable>>;
 type TextTable = Readonly<Record<string, Readonly<Record<string, string>>>>;
 
-/** Converts a key of the schema to its form in the file. */
+/** Converts a key of the schema to the snake_case key of the file. */
 export function convertToFileKey(key: string): string {
   return key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
 
 /**
- * Checks the text of a settings file and lists every mistake.
+ * Parses and validates the text of a settings file and lists every mistake.
  *
  * @example
  * ```ts
@@ -67,15 +67,15 @@
   return Ok(settings as unknown as Settings);
 }
 
-/** Reads and checks a settings file; an unreadable file is one mistake. */
+/** Reads and validates a settings file; an unreadable file is one mistake. */
 export function loadSettings(
   path: string,
 ): Result<Settings, readonly SettingsMistake[]> {
   let text: string;
   try {
     text = readFileSync(path, "utf8");
-  } catch (thrown) {
-    const read = thrown instanceof Error ? thrown.message : String(thrown);
+  } catch (error) {
+    const read = error instanceof Error ? error.message : String(error);
     return Err([{
       section: "",
       key: "",
@@ -104,9 +104,9 @@
     return value === undefined ? Err(undefined) : Ok(value);
   }
   if (field.fallback !== undefined) return Ok(field.fallback);
-  const isNeeded = field.roles === undefined ||
+  const isRequired = field.roles === undefined ||
     field.roles.some((role) => roles.includes(role));
-  if (!isNeeded) return Ok("");
+  if (!isRequired) return Ok("");
   return Err(undefined);
 }
 
--- a/packages/core/src/settings/load_settings_test.ts
+++ b/packages/core/src/settings/load_settings_test.ts
@@ -3,7 +3,7 @@
 import { describeMistake, parseSettings } from "./load_settings.ts";
 
 const SEED = 1;
-const VALID = [
+const VALID_SETTINGS = [
   "[daemon]",
   "name = entry-1",
   "roles = entry",
@@ -16,7 +16,7 @@
 ].join("\n");
 
 test("valid settings are read with their defaults", (t) => {
-  const settings = parseSettings(VALID).unwrap();
+  const settings = parseSettings(VALID_SETTINGS).unwrap();
   t.same(settings.daemon.roles, ["entry"]);
   t.equal(settings.network.programGroups, 4);
   t.equal(settings.network.replicas[1]?.address, "127.0.0.1:7102");
@@ -25,7 +25,7 @@
 });
 
 test("every mistake is listed with what was read and what is allowed", (t) => {
-  const text = VALID.replace("roles = entry", "roles = entri")
+  const text = VALID_SETTINGS.replace("roles = entry", "roles = entri")
     .replace("[entry]", "[entry]\nmax_body_bytes = many\nspeed = 3")
     .concat("\n[extra]\nkey = 1");
   const mistakes = parseSettings(text);
@@ -42,15 +42,17 @@
   t.end();
 });
 
-test("a key that the role needs is missed", (t) => {
-  const mistakes = parseSettings(VALID.replace("entry\n", "entry, replica\n"));
+test("a missing key that a role requires is reported", (t) => {
+  const mistakes = parseSettings(
+    VALID_SETTINGS.replace("entry\n", "entry, replica\n"),
+  );
   t.ok(mistakes.err);
   const keys = (mistakes.err ? mistakes.val : []).map((mistake) => mistake.key);
   t.same(keys, ["id", "data_folder"]);
   t.end();
 });
 
-test("no text makes the reader throw", (t) => {
+test("parsing settings never throws", (t) => {
   const section = fc.constantFrom(
     "[daemon]",
     "[network]",
--- a/packages/core/src/shared/digest.ts
+++ b/packages/core/src/shared/digest.ts
@@ -19,7 +19,10 @@
   return createHash("sha256").update(bytes).digest("hex");
 }
 
-/** Serializes a JSON value with sorted keys, so that equal values match. */
+/**
+ * Serializes a JSON value with sorted keys, so that equal values give equal
+ * text.
+ */
 export function serializeStable(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
     if (inner === null || typeof inner !== "object") return inner;
@@ -34,8 +37,8 @@
 export const EMPTY_HISTORY_DIGEST = hashText("");
 
 /**
- * Extends a history digest by one turn. The digest after turn N depends on
- * every turn up to N, so a caller can check that nothing was lost or mixed.
+ * Extends the digest of a history by one turn. The digest after turn N depends
+ * on all turns up to N and their order, so that a caller can verify the history.
  *
  * @example
  * ```ts
@@ -47,7 +50,7 @@
   return hashText(`${digest}\n${serializeStable(turn)}`);
 }
 
-/** Compares two texts in time that does not depend on where they differ. */
+/** Compares two texts in time that is independent of where they differ. */
 export function equalsInConstantTime(left: string, right: string): boolean {
   const leftDigest = createHash("sha256").update(left).digest();
   const rightDigest = createHash("sha256").update(right).digest();
--- a/packages/core/src/shared/digest_test.ts
+++ b/packages/core/src/shared/digest_test.ts
@@ -8,7 +8,7 @@
 
 const SEED = 1;
 
-test("equal values serialize alike whatever the order of their keys", (t) => {
+test("equal values serialize to equal text regardless of the order of keys", (t) => {
   fc.assert(
     fc.property(fc.dictionary(fc.string(), fc.jsonValue()), (value) => {
       const reversed = Object.fromEntries(Object.entries(value).toReversed());
@@ -19,7 +19,7 @@
   t.end();
 });
 
-test("a digest depends on every turn and on their order", (t) => {
+test("a digest depends on every turn and on the order of turns", (t) => {
   const fold = (turns: readonly unknown[]) =>
     turns.reduce<string>(extendDigest, EMPTY_HISTORY_DIGEST);
   fc.assert(
--- a/packages/core/src/shared/message_size.ts
+++ b/packages/core/src/shared/message_size.ts
@@ -1,32 +1,31 @@
 /**
- * How many bytes one message of a longer transfer carries: entries to a member,
- * or parts of a document. Nothing here needs a network.
- *
- * The load it answers: a peer whose way is narrow or whose disk is slow. All
- * other messages to it wait behind a large one, heartbeats and turns among them,
- * and what comes just after one has left waits for it and for its own: both grow
- * with the message.
- *
- * What it buys: on ways of 400 kB a second messages shrink from 330 ms each to
- * some 160 ms, reckoned from bytes and pace.
+ * Adapts the message size of a longer transfer, such as entries to a member or
+ * parts of a document, to a peer with a slow link or disk. Other messages to the
+ * peer, such as heartbeats and turns, wait behind a large one. The next message
+ * of the transfer adds its own duration, so that both delays grow with the size.
+ * On links of 400 kB/s messages shrink from 330 ms each to about 160 ms.
  */
 
 /**
- * Time that a message should take at most, ms: two thirds of an election
- * timeout. A leader short of processor time is late by less than that, and
- * more, smaller messages would make it later.
+ * Target for the maximum duration of a message, ms: two thirds of an election
+ * timeout. A leader that is short of processor time is delayed by less than
+ * this, and a larger number of smaller messages would delay it further.
+ */
+const MAX_MESSAGE_MILLISECONDS = 200;
+/**
+ * Minimum size, bytes; in smaller messages the overhead per message dominates.
  */
-const LONGEST_MESSAGE_MILLISECONDS = 200;
-/** Least bytes of a message: below that its own cost counts for more. */
 export const LEAST_MESSAGE_BYTES = 16_384;
 /**
- * Most bytes of a message: some 10 ms of a link of 100 Mbit/s, so that
- * heartbeats to all members get through between the messages.
+ * Maximum size, bytes: about 10 ms of a 100 Mbit/s link, so that heartbeats to
+ * all members are sent in time between the messages.
  */
 export const MOST_MESSAGE_BYTES = 131_072;
 
 /**
- * Bytes that the next message may carry, by how long the last one took.
+ * Computes the maximum size of the next message, bytes, from the size and
+ * duration of the last one: it is halved after a slow message and doubled after
+ * a fast one.
  *
  * @example
  * ```ts
@@ -39,11 +38,11 @@
   last: { readonly sent: number; readonly milliseconds: number },
 ): number {
   const { sent, milliseconds } = last;
-  const isSlow = milliseconds > LONGEST_MESSAGE_MILLISECONDS;
-  // A small message that took long has waited for something else.
+  const isSlow = milliseconds > MAX_MESSAGE_MILLISECONDS;
+  // A small message is slow only because it waited for something else.
   if (isSlow && sent >= LEAST_MESSAGE_BYTES) {
     return Math.max(LEAST_MESSAGE_BYTES, allowed / 2);
   }
-  const isFast = milliseconds < LONGEST_MESSAGE_MILLISECONDS / 2;
+  const isFast = milliseconds < MAX_MESSAGE_MILLISECONDS / 2;
   return isFast ? Math.min(MOST_MESSAGE_BYTES, allowed * 2) : allowed;
 }
--- a/packages/core/src/shared/program_ids.ts
+++ b/packages/core/src/shared/program_ids.ts
@@ -1,20 +1,21 @@
-/** Program ids, and the group that owns a program. */
+/** Derives the ids of programs and the groups that own them. */
 
 import { createHash } from "node:crypto";
 
 const ROOT_ID_LENGTH = 24;
 
-/** What the id of a new program is derived from. */
+/** Values from which the id of a new program is derived. */
 export interface ProgramIdSource {
   readonly outfit: string;
   readonly requestId: string;
-  /** Id of the parent program, for a child. */
+  /** Id of the parent program; missing for a root program. */
   readonly parent?: string;
 }
 
 /**
- * Derives the id of a new program from its outfit and request id, so that a
- * resent request names the same program. A child carries the id of its root.
+ * Derives the id of a new program from its outfit, request id and parent, so
+ * that a request that is sent again gets the same id. The id of a child starts
+ * with the id of its root.
  *
  * @example
  * ```ts
@@ -40,8 +41,8 @@
 }
 
 /**
- * Returns the number of the group that owns a program. All programs below
- * one root share a group, so that they can draw on one budget.
+ * Returns the number of the group that owns a program. All descendants of a
+ * root belong to its group, so that they can share one budget.
  *
  * @example
  * ```ts
--- a/packages/core/src/shared/sleep.ts
+++ b/packages/core/src/shared/sleep.ts
@@ -1,9 +1,9 @@
-/** Waiting helpers. */
+/** Helpers to wait for a time or for a promise. */
 
 import { setTimeout as sleepFor } from "node:timers/promises";
 
 /**
- * Waits until the time has passed or the signal aborts; never throws.
+ * Waits for the given time or until the signal aborts; never throws.
  *
  * @example
  * ```ts
@@ -18,13 +18,13 @@
   await sleepFor(milliseconds, undefined, { signal }).catch(() => undefined);
 }
 
-/** A promise with its resolver, for hand-over between two tasks. */
+/** A promise with its resolver, to pass a value from one task to another. */
 export interface Deferred<T> {
   readonly promise: Promise<T>;
   resolve(value: T): void;
 }
 
-/** Makes a {@linkcode Deferred}. */
+/** Creates a {@linkcode Deferred}. */
 export function createDeferred<T>(): Deferred<T> {
   let resolve: (value: T) => void = () => undefined;
   const promise = new Promise<T>((settle) => {
@@ -34,25 +34,25 @@
 }
 
 /**
- * Waits for a promise, but no longer than the limit.
+ * Waits for a promise with a timeout; rejects if the promise rejects first.
  *
- * @returns the value, or undefined when the limit passed first
+ * @returns the value, or undefined on a timeout
  */
 export async function waitAtMost<T>(
   promise: Promise<T>,
   milliseconds: number,
 ): Promise<T | undefined> {
-  const timer = createDeferred<undefined>();
-  const handle = setTimeout(() => timer.resolve(undefined), milliseconds);
+  const timeout = createDeferred<undefined>();
+  const timer = setTimeout(() => timeout.resolve(undefined), milliseconds);
   try {
-    return await Promise.race([promise, timer.promise]);
+    return await Promise.race([promise, timeout.promise]);
   } finally {
-    clearTimeout(handle);
+    clearTimeout(timer);
   }
 }
 
 /**
- * Reason to abort a controller with. Without one, each abort makes an error
- * with a stack, which is dear on the path of every call.
+ * Reason for aborting a controller. Without a reason each abort creates an error
+ * with a stack trace, which is too expensive for every call.
  */
 export const ABORTED = "aborted";
--- a/packages/core/src/shared/turn_queue.ts
+++ b/packages/core/src/shared/turn_queue.ts
@@ -1,26 +1,28 @@
-/** Work that is done one piece after the other. */
+/** Runs asynchronous tasks one at a time. */
 
 /**
- * Runs pieces of work in the order in which they were given.
+ * Runs tasks one after another, in the order in which they were added.
  *
  * @example
  * ```ts
  * const queue = new TurnQueue();
- * await Promise.all([queue.run(first), queue.run(second)]); // never at once
+ * await Promise.all([queue.run(first), queue.run(second)]); // first, then second
  * ```
  */
 export class TurnQueue {
   #last: Promise<void> = Promise.resolve();
 
-  /** Resolves when the work given last has ended, whether or not it failed. */
+  /**
+   * Resolves when the task that was added last has ended, also if it failed.
+   */
   get idle(): Promise<void> {
     return this.#last;
   }
 
-  /** Runs work after all that was given before; rejects if it fails. */
-  async run(work: () => Promise<void>): Promise<void> {
-    const turn = this.#last.then(work);
-    this.#last = turn.catch(() => undefined);
-    await turn;
+  /** Runs a task after all earlier ones; rejects if the task fails. */
+  async run(task: () => Promise<void>): Promise<void> {
+    const current = this.#last.then(task);
+    this.#last = current.catch(() => undefined);
+    await current;
   }
 }
--- a/packages/core/src/shared/turn_queue_test.ts
+++ b/packages/core/src/shared/turn_queue_test.ts
@@ -2,7 +2,7 @@
 import { test } from "tap";
 import { TurnQueue } from "./turn_queue.ts";
 
-test("work is done one piece after the other, also after one that failed", async (t) => {
+test("tasks run one after another, also after a failed one", async (t) => {
   const queue = new TurnQueue();
   const steps: string[] = [];
   const work = (name: string, isFailing = false) => async () => {
--- a/packages/core/src/shared/wake_signal.ts
+++ b/packages/core/src/shared/wake_signal.ts
@@ -1,4 +1,4 @@
-/** A wake-up call between tasks of one process. */
+/** Wakes waiting tasks of the same process. */
 
 import { createDeferred, type Deferred } from "./sleep.ts";
 
@@ -7,25 +7,25 @@
  * {@linkcode WakeSignal.wake} waits for the next one.
  */
 export class WakeSignal {
-  #waiting: Deferred<void> = createDeferred<void>();
+  #next: Deferred<void> = createDeferred<void>();
 
   /** Wakes all waiting tasks. */
   wake(): void {
-    const woken = this.#waiting;
-    this.#waiting = createDeferred<void>();
+    const woken = this.#next;
+    this.#next = createDeferred<void>();
     woken.resolve(undefined);
   }
 
-  /** Resolves at the next wake-up, or after the limit if one is given. */
+  /** Resolves at the next wake-up, or after the limit if there is one. */
   async wait(limitMilliseconds?: number): Promise<void> {
-    const promise = this.#waiting.promise;
+    const promise = this.#next.promise;
     if (limitMilliseconds === undefined) return await promise;
-    const timer = createDeferred<void>();
-    const handle = setTimeout(
-      () => timer.resolve(undefined),
+    const timeout = createDeferred<void>();
+    const timer = setTimeout(
+      () => timeout.resolve(undefined),
       limitMilliseconds,
     );
-    await Promise.race([promise, timer.promise]);
-    clearTimeout(handle);
+    await Promise.race([promise, timeout.promise]);
+    clearTimeout(timer);
   }
 }
--- a/packages/core/src/supervisor/supervisor.ts
+++ b/packages/core/src/supervisor/supervisor.ts
@@ -1,7 +1,7 @@
 /**
- * A supervisor tree. A supervisor starts its children in order, restarts a
- * child that fails, and stops them in reverse order. A child that fails too
- * often fails its supervisor, and at the root ends the process.
+ * A supervision tree. A supervisor starts its children in order, restarts failed
+ * children and stops them in reverse order. It fails itself when its children
+ * fail too often or a fatal one fails; a failure of the root ends the process.
  */
 
 import { performance } from "node:perf_hooks";
@@ -14,23 +14,23 @@
 /** A part of a daemon that can be started and stopped. */
 export interface Child {
   readonly name: string;
-  /** Starts the child; resolves when it is ready. */
+  /** Starts the child; resolves once it is ready. */
   start(): Promise<void>;
-  /** Resolves or rejects when the child ends without having been stopped. */
+  /** Settles when the child ends without having been stopped. */
   readonly ended?: Promise<void>;
   /** True if a failure of the child must end the process. */
   readonly isFatal?: boolean;
-  /** Stops the child; open work is finished first. */
+  /** Stops the child after it has finished its open work. */
   stop(): Promise<void>;
 }
 
-/** Makes a child; called again for each restart. */
+/** Creates a child; called again for each restart. */
 export type ChildFactory = () => Child;
 
-/** How a supervisor restarts its children. */
+/** Options of a {@linkcode Supervisor}. */
 export interface SupervisorOptions {
   readonly logger: Logger;
-  /** Restarts within the interval that fail the supervisor. */
+  /** Restarts allowed within the interval; one more fails the supervisor. */
   readonly maxRestarts: number;
   readonly intervalMilliseconds: number;
 }
@@ -54,14 +54,17 @@
     this.#options = options;
   }
 
-  /** Rejects when a child fails more often than allowed. */
+  /**
+   * Rejects when the children fail more often than allowed, or a fatal one
+   * fails.
+   */
   get ended(): Promise<void> {
     return this.#ended.promise.then((error) => {
       throw error;
     });
   }
 
-  /** Adds a child; it starts with {@linkcode Supervisor.start}. */
+  /** Adds a child, which is started by {@linkcode Supervisor.start}. */
   add(factory: ChildFactory): void {
     this.#slots.push({ factory, child: undefined });
   }
@@ -86,8 +89,8 @@
     await child.start();
     slot.child = child;
     this.#options.logger.debug("Child started", { child: child.name });
-    // Read once: a child may make a new promise each time, and one that nobody
-    // watches would end the process when it rejects.
+    // Reads the property once: a child may create a promise on each access, and
+    // a rejected promise without a handler would end the process.
     const { ended } = child;
     if (ended !== undefined) void this.#watch(slot, ended);
   }
@@ -105,8 +108,10 @@
       return;
     }
     const now = performance.now();
-    const since = now - this.#options.intervalMilliseconds;
-    this.#restartTimes = this.#restartTimes.filter((time) => time > since);
+    const windowStart = now - this.#options.intervalMilliseconds;
+    this.#restartTimes = this.#restartTimes.filter((time) =>
+      time > windowStart
+    );
     this.#restartTimes.push(now);
     if (this.#restartTimes.length > this.#options.maxRestarts) {
       this.#ended.resolve(
--- a/packages/core/src/supervisor/supervisor_test.ts
+++ b/packages/core/src/supervisor/supervisor_test.ts
@@ -32,7 +32,7 @@
   t.same(events, ["start first", "start second", "stop second", "stop first"]);
 });
 
-test("a child that fails is started again, until it fails too often", async (t) => {
+test("a failed child is restarted until it fails too often", async (t) => {
   const events: string[] = [];
   const failures: Deferred<void>[] = [];
   const restarted = createDeferred<void>();
@@ -51,7 +51,7 @@
   t.same(events, ["start child-1", "start child-2"]);
 });
 
-test("a fatal child is not started again", async (t) => {
+test("a fatal child is not restarted", async (t) => {
   const supervisor = new Supervisor("root", OPTIONS);
   const failing = {
     ...createChild("disk", [], Promise.resolve()),
@@ -62,19 +62,19 @@
   await t.rejects(supervisor.ended, /Child disk failed/);
 });
 
-test("the end of a child is asked for once", async (t) => {
-  let asked = 0;
+test("the `ended` promise of a child is read once", async (t) => {
+  let reads = 0;
   const supervisor = new Supervisor("root", OPTIONS);
   supervisor.add(() => ({
     name: "child",
     start: () => Promise.resolve(),
     stop: () => Promise.resolve(),
     get ended(): Promise<void> {
-      asked++;
+      reads++;
       return new Promise(() => undefined);
     },
   }));
   await supervisor.start();
-  t.equal(asked, 1);
+  t.equal(reads, 1);
   await supervisor.stop();
 });
--- a/packages/core/src/types/calls.ts
+++ b/packages/core/src/types/calls.ts
@@ -1,4 +1,4 @@
-/** Calls of a program, and their answers. */
+/** Calls of programs, their answers and the turns of a history. */
 
 /** One message of a chat prompt. */
 export interface ChatMessage {
@@ -6,80 +6,80 @@
   readonly content: string;
 }
 
-/** A call of a model. Model calls are idempotent. */
+/** A call to a model. Model calls are idempotent. */
 export interface ModelCall {
   readonly kind: "model";
   readonly model: string;
-  /** The new messages; the history is put before them by the owner. */
+  /** The new messages; the owner prepends the program's history. */
   readonly messages: readonly ChatMessage[];
   readonly maxTokens: number;
 }
 
-/** A call of a plain service. */
+/** A call to a service that is not a model. */
 export interface ServiceCall {
   readonly kind: "service";
   readonly service: string;
   readonly operation: string;
-  /** The JSON text that the service gets. */
+  /** Request body for the service, as JSON text. */
   readonly payload: string;
   readonly idempotent: boolean;
 }
 
-/** What a caller asks for. */
+/** The content of a call: a model call or a service call. */
 export type CallBody = ModelCall | ServiceCall;
 
-/** Tokens that one answer took, as the engine reports them. */
+/** Token counts of one answer, as reported by the engine. */
 export interface Usage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly completionTokens: number;
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface Answer {
   readonly text: string;
-  /** Why the engine stopped, or the HTTP status of a service as text. */
+  /** Finish reason of the engine, or the HTTP status of a service as text. */
   readonly finish: string;
   readonly usage: Usage;
 }
 
-/** Usage of an answer that no engine produced. */
+/** Usage of an answer that was not produced by an engine. */
 export const NO_USAGE: Usage = {
   promptTokens: 0,
   cachedTokens: 0,
   completionTokens: 0,
 };
 
-/** One turn of a program's history. */
+/** One turn in the history of a program. */
 export interface HistoryTurn {
   readonly turn: number;
   readonly requestId: string;
   readonly body: CallBody;
   readonly answer: Answer;
-  /** Name of the result code; OK for an answer. */
+  /** Name of the result code; OK for a successful call. */
   readonly code: string;
   /** Digest of the history up to and including this turn. */
   readonly digest: string;
 }
 
-/** Names one call of one program. */
+/** Identifies a call of a program. */
 export interface CallKey {
   readonly programId: string;
   readonly requestId: string;
 }
 
-/** Names one attempt to run a call on a sidecar. */
+/** Identifies one attempt to run a call on a sidecar. */
 export interface AttemptKey extends CallKey {
   readonly group: number;
   readonly attempt: number;
 }
 
-/** Returns the text form of an attempt key, for maps and logs. */
+/** Formats an attempt key as text, for map keys and logs. */
 export function formatAttemptKey(key: AttemptKey): string {
   return `${key.group}/${key.programId}/${key.requestId}/${key.attempt}`;
 }
 
-/** Returns true if the call may run more than once. */
+/** Returns true if the call may safely run more than once. */
 export function isIdempotent(body: CallBody): boolean {
   return body.kind === "model" || body.idempotent;
 }
--- a/packages/core/src/types/consensus.ts
+++ b/packages/core/src/types/consensus.ts
@@ -1,13 +1,15 @@
-/** Messages of the replicated log. */
+/** Messages of the consensus protocol that replicates the log. */
 
-/** A replica with the incarnation of its data folder. */
+/** Identifies a replica and the incarnation of its data folder. */
 export interface ReplicaIdentity {
   readonly replicaId: string;
-  /** New whenever the data folder is new. */
+  /**
+   * Id that is created with the data folder; a new data folder has a new one.
+   */
   readonly incarnation: string;
 }
 
-/** Parts that a member can play in a group. */
+/** Roles of a member in a group. */
 export const MEMBER_ROLES = {
   VOTER: "voter",
   LEARNER: "learner",
@@ -20,7 +22,7 @@
 /** A member of a group. */
 export interface Member extends ReplicaIdentity {
   readonly role: MemberRole;
-  /** Where the replica listens, host:port. */
+  /** Address that the replica listens on, host:port. */
   readonly address: string;
   readonly failureDomain: string;
 }
@@ -40,11 +42,14 @@
   readonly index: number;
   readonly term: number;
   readonly kind: EntryKind;
-  /** The command, or the members, in CBOR. */
+  /** The command or the list of members, encoded as CBOR. */
   readonly payload: Uint8Array;
 }
 
-/** Names the sender of a consensus message and its target's incarnation. */
+/**
+ * Common fields of the consensus messages: group, term, sender and the
+ * incarnation of the receiver.
+ */
 export interface ConsensusEnvelope {
   readonly group: number;
   readonly term: number;
@@ -52,85 +57,87 @@
   readonly toIncarnation: string;
 }
 
-/** Asks for a vote; a pre-vote changes nothing at the voter. */
+/** Requests a vote; a pre-vote does not change the state of the voter. */
 export interface VoteRequest extends ConsensusEnvelope {
   readonly preVote: boolean;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** True when the present leader asked the candidate to take over. */
+  /** True if the current leader asked the candidate to take over. */
   readonly handover: boolean;
 }
 
-/** Answer to a {@linkcode VoteRequest}. */
+/** Reply to a {@linkcode VoteRequest}. */
 export interface VoteReply {
   readonly term: number;
   readonly granted: boolean;
 }
 
-/** Appends entries; an empty one is a heartbeat. */
+/** Appends entries to a member's log; without entries it is a heartbeat. */
 export interface AppendRequest extends ConsensusEnvelope {
   readonly previousIndex: number;
   readonly previousTerm: number;
   readonly entries: readonly LogEntry[];
   readonly commitIndex: number;
-  /** True if the receiver is a member that gets no entries for now. */
+  /**
+   * True if the receiver is a cold spare, which is not sent entries for now.
+   */
   readonly isCold?: boolean;
 }
 
-/** Answer to an {@linkcode AppendRequest}. */
+/** Reply to an {@linkcode AppendRequest}. */
 export interface AppendReply {
   readonly term: number;
   readonly accepted: boolean;
-  /** Last index known to match, or a hint where to try next. */
+  /** Last index that matches if accepted, otherwise a hint for the next try. */
   readonly matchIndex: number;
 }
 
-/** One part of a snapshot. */
+/** Sends one chunk of a snapshot. */
 export interface SnapshotRequest extends ConsensusEnvelope {
   readonly lastIndex: number;
   readonly lastTerm: number;
   readonly members: readonly Member[];
-  /** Size of the whole state, bytes. */
+  /** Size of the complete state, bytes. */
   readonly size: number;
   readonly offset: number;
   readonly part: Uint8Array;
   readonly last: boolean;
 }
 
-/** Answer to a {@linkcode SnapshotRequest}. */
+/** Reply to a {@linkcode SnapshotRequest}. */
 export interface SnapshotReply {
   readonly term: number;
   readonly accepted: boolean;
 }
 
-/** Asks a replica what it holds, before a group is founded. */
+/** Asks a replica for its stored state, before a group is founded. */
 export interface FoundingQuery {
   readonly from: ReplicaIdentity;
 }
 
-/** Answer to a {@linkcode FoundingQuery}. */
+/** Reply to a {@linkcode FoundingQuery}. */
 export interface FoundingState {
   readonly identity: ReplicaIdentity;
   readonly failureDomain: string;
   readonly founded: boolean;
-  /** Members at the founding, if it was founded. */
+  /** Members with which the group was founded; empty if it was not. */
   readonly foundingMembers: readonly Member[];
 }
 
-/** Asks the leader of a group to take in a replica with a new incarnation. */
+/** Asks the leader to add a replica with a new incarnation to its group. */
 export interface JoinRequest {
   readonly group: number;
   readonly member: Member;
-  /** True if the replica finds itself among the members that it knows. */
+  /** True if the replica's own list of members contains it. */
   readonly knowsItself: boolean;
 }
 
-/** Tells a replica to start an election at once. */
+/** Tells a replica to start an election immediately. */
 export interface HandoverRequest extends ConsensusEnvelope {
   readonly lastIndex: number;
 }
 
-/** State of one group at one replica, for operators. */
+/** Status of a group as one replica sees it, for operators. */
 export interface GroupStatus {
   readonly group: number;
   readonly state: "leader" | "follower" | "candidate";
@@ -140,14 +147,14 @@
   readonly lastIndex: number;
   readonly snapshotIndex: number;
   readonly members: readonly Member[];
-  /** Entries that each member lacks, as the leader knows. */
+  /** How far each member is behind, as known by the leader. */
   readonly lag: readonly MemberLag[];
 }
 
-/** Entries that one member lacks. */
+/** How far a member is behind the leader's log. */
 export interface MemberLag {
   readonly replicaId: string;
-  /** True if it gets entries: it votes, or is a warm spare. */
+  /** True if the leader sends it entries: a voter or a warm spare. */
   readonly isFed: boolean;
   readonly entries: number;
   readonly silentMilliseconds: number;
--- a/packages/core/src/types/instances.ts
+++ b/packages/core/src/types/instances.ts
@@ -1,41 +1,43 @@
-/** Messages on the list of upstream instances. */
+/** Messages with the list of upstream instances. */
 
 import type { UpstreamInstance } from "./routing.ts";
 
-/** The instance list as the reader last saw it. */
+/** The instance list as it was last read. */
 export interface InstanceList {
-  /** Differs whenever the content differs. */
+  /** Changes whenever the content changes. */
   readonly revision: string;
   readonly instances: readonly UpstreamInstance[];
 }
 
-/** Asks any store for the instance list, whether or not it leads. */
+/** Requests the instance list from any store, leader or not. */
 export interface ReadInstanceList {
-  /** Revision that the gateway has; empty if none. */
+  /** Revision that the gateway has; empty if it has no list. */
   readonly revision: string;
-  /** A list that was read longer ago is read again for the answer, ms. */
+  /** The store reads the list again if its own is older than this, ms. */
   readonly maxAgeMilliseconds: number;
 }
 
-/** What turns the instance list of one revision into another. */
+/** Update of the instance list from one revision to another. */
 export interface InstanceUpdate {
   readonly revision: string;
-  /** Revision that the update begins with; empty if it tells the whole list. */
+  /**
+   * Revision that the update applies to; empty if it holds the complete list.
+   */
   readonly base: string;
   readonly changed: readonly UpstreamInstance[];
-  /** Ids of instances that are listed no more. */
+  /** Ids of instances that are no longer listed. */
   readonly removed: readonly string[];
 }
 
-/** Answer to a {@linkcode ReadInstanceList}. */
+/** Reply to a {@linkcode ReadInstanceList}. */
 export interface InstanceListReply {
   /** A packed {@linkcode InstanceUpdate}; missing if nothing has changed. */
   readonly update?: Uint8Array;
-  /** Only from a store of an earlier release, which tells the whole list. */
+  /** Set only by stores of earlier releases, which send the complete list. */
   readonly list?: InstanceList;
   /**
-   * Revision that the age is of; empty without a list, missing in earlier
-   * releases. A gateway that has another one must not take the age for its own.
+   * Revision that the age applies to; empty without a list, missing in earlier
+   * releases. A gateway that has another revision must not use the age for it.
    */
   readonly listRevision?: string;
   /** Time since the list was read; -1 if it never was. */
--- a/packages/core/src/types/internal_handlers.ts
+++ b/packages/core/src/types/internal_handlers.ts
@@ -1,4 +1,6 @@
-/** The one map from the name of an internal handler to its signature. */
+/**
+ * Maps the name of each internal handler to its request, reply and chunk types.
+ */
 
 import type {
   Answer,
@@ -52,51 +54,56 @@
   TurnEnded,
 } from "./site.ts";
 
-/** An empty message. */
+/** A message without content. */
 export interface Nothing {
   readonly nothing?: undefined;
 }
 
-/** Asks for the changes since a revision and confirms the one in force. */
+/** Requests the changes since a revision and reports the one in force. */
 export interface ConfigurationPoll {
   readonly daemonId: string;
   readonly bootId: string;
-  /** Revision in force at the asking daemon; -1 when it has none. */
+  /** Revision in force at the requesting daemon; -1 if it has none. */
   readonly revision: number;
-  /** How long the leader may hold the poll when nothing has changed. */
+  /** Time that the leader may hold the poll open while nothing changes. */
   readonly holdMilliseconds: number;
 }
 
-/** Answer to a {@linkcode ConfigurationPoll}. */
+/** Reply to a {@linkcode ConfigurationPoll}. */
 export interface ConfigurationUpdate {
   readonly revision: number;
-  /** True if `resources` is the whole state, false if `changes` applies. */
+  /**
+   * True if `resources` is the complete state, false if `changes` is to be
+   * applied.
+   */
   readonly whole: boolean;
   readonly resources: readonly Resource[];
   readonly changes: readonly ResourceChange[];
 }
 
-/** Asks the owner to run a call, or to attach to it. */
+/** Asks the owner to run a call, or attaches to it if it is already running. */
 export interface RunCallRequest extends CallKey {
   readonly outfit: string;
   readonly body: CallBody;
-  /** True if the entry will attach to the stream of each attempt. */
+  /** True if the entry attaches to the text stream of each attempt. */
   readonly stream: boolean;
-  /** Text that an earlier owner's attempt has told the caller. */
+  /**
+   * Text that the caller already received from an attempt of an earlier owner.
+   */
   readonly told: string;
 }
 
-/** Tells the entry where the call runs, or that an attempt was lost. */
+/** Reports to the entry where the call runs, or that an attempt was lost. */
 export interface RunCallEvent {
   readonly event: "dispatched" | "lost";
   readonly attempt: AttemptKey;
   readonly address: string;
   readonly bootId: string;
-  /** Text that came before the first text of this attempt. */
+  /** Text that the caller received before the first text of this attempt. */
   readonly told: string;
 }
 
-/** The recorded end of a call. */
+/** The recorded result of a call. */
 export interface RunCallReply {
   readonly code: string;
   readonly message: string;
@@ -105,78 +112,80 @@
   readonly digest: string;
 }
 
-/** Tells the owner which text a caller of a lost attempt has seen. */
+/** Reports to the owner the text that a caller received from a lost attempt. */
 export interface ToldText extends CallKey {
   readonly attempt: number;
   readonly text: string;
 }
 
-/** A dispatch from an owner to a sidecar. */
+/** Dispatches an attempt from its owner to a sidecar. */
 export interface DispatchRequest {
   readonly key: AttemptKey;
   readonly term: number;
-  /** Start of the sidecar that the intent names. */
+  /** Boot id of the sidecar in the recorded dispatch intent. */
   readonly bootId: string;
   readonly outfit: string;
   readonly priority: number;
-  /** Service that the program had so far, in generated tokens. */
+  /** Service that the program has received so far, in generated tokens. */
   readonly attainedTokens: number;
-  /** Wall clock time after which nobody waits for the answer. */
+  /** Deadline by the wall clock, Unix ms; afterwards no caller waits. */
   readonly deadlineAt: number;
   readonly body: CallBody;
-  /** The whole prompt of a model call. */
+  /** The complete prompt of a model call. */
   readonly prompt: readonly ChatMessage[];
-  /** Text already told to the caller, which the answer must begin with. */
+  /** Text that the caller already received; the answer must begin with it. */
   readonly told: string;
 }
 
-/** What a sidecar knows of an attempt. */
+/** State of an attempt, as its sidecar knows it. */
 export interface AttemptState {
   readonly state: "running" | "finished" | "never_ran" | "outcome_unknown";
   readonly answer?: Answer;
 }
 
-/** Asks about an attempt, and fences the group below the term. */
+/**
+ * Asks for the state of an attempt, and fences off older terms of its group.
+ */
 export interface RecoverRequest {
   readonly key: AttemptKey;
   readonly term: number;
   readonly bootId: string;
 }
 
-/** Text of a running attempt from an offset. */
+/** Requests the text of a running attempt, starting at an offset. */
 export interface AttachRequest {
   readonly key: AttemptKey;
   readonly offset: number;
 }
 
-/** A piece of the text of an attempt. */
+/** A chunk of the text of an attempt. */
 export interface TextChunk {
   readonly offset: number;
   readonly text: string;
 }
 
-/** Asks which of some programs are alive. */
+/** Asks which of the given programs are alive. */
 export interface AliveRequest {
   readonly group: number;
   readonly programIds: readonly string[];
 }
 
-/** A lease on the orders of one upstream. */
+/** Requests a lease on the orders to an upstream. */
 export interface LeaseRequest {
   readonly upstream: string;
   readonly holder: string;
   readonly durationMilliseconds: number;
 }
 
-/** Answer to a {@linkcode LeaseRequest}. */
+/** Reply to a {@linkcode LeaseRequest}. */
 export interface LeaseReply {
   readonly granted: boolean;
   readonly fencingNumber: number;
-  /** How long a refused asker must wait out the present holder. */
+  /** Time until the current holder's lease ends, if the request was refused. */
   readonly waitMilliseconds: number;
 }
 
-/** State of one replica, for operators. */
+/** Status of a replica, for operators. */
 export interface ReplicaStatus {
   readonly replicaId: string;
   readonly incarnation: string;
@@ -189,7 +198,7 @@
   readonly programs: number;
 }
 
-/** A daemon that follows the configuration. */
+/** A daemon that polls the configuration. */
 export interface FollowerStatus {
   readonly daemonId: string;
   readonly revision: number;
@@ -202,7 +211,7 @@
   readonly chunk: Chunk;
 }
 
-/** Every handler that one process of mallowlift serves to another. */
+/** Every handler that a mallowlift process serves to other processes. */
 export interface InternalHandlers {
   "consensus.vote": Signature<VoteRequest, VoteReply>;
   "consensus.append": Signature<AppendRequest, AppendReply>;
@@ -262,23 +271,23 @@
 
 /** Reads the history of a program of an outfit. */
 export interface ReadHistoryRequest extends ReadProgramRequest {
-  /** First turn wanted, from 1. */
+  /** First turn to return, counted from 1. */
   readonly fromTurn: number;
   readonly limit: number;
 }
 
-/** Part of a history. */
+/** A page of a program's history. */
 export interface HistoryPage {
   readonly program: ProgramView;
   readonly turns: readonly HistoryTurn[];
 }
 
-/** Answer to an {@linkcode AliveRequest}. */
+/** Reply to an {@linkcode AliveRequest}. */
 export interface AliveReply {
   readonly alive: readonly string[];
 }
 
-/** Tells a sidecar to free what its engine keeps for a program. */
+/** Tells a sidecar to free the engine's cache of a program. */
 export interface ReleaseRequest {
   readonly programId: string;
 }
--- a/packages/core/src/types/mod.ts
+++ b/packages/core/src/types/mod.ts
@@ -1,4 +1,4 @@
-/** Entity types. */
+/** Types of the messages between processes and of their contents. */
 
 export * from "./calls.ts";
 export * from "./consensus.ts";
--- a/packages/core/src/types/programs.ts
+++ b/packages/core/src/types/programs.ts
@@ -1,6 +1,6 @@
-/** Agent programs. */
+/** Agent programs: what a caller requests and what it can read back. */
 
-/** Why a program ended. */
+/** Reasons for the end of a program. */
 export const END_REASONS = {
   CALLER: "caller",
   LEASE: "lease",
@@ -11,25 +11,25 @@
 /** One of {@linkcode END_REASONS}. */
 export type EndReason = typeof END_REASONS[keyof typeof END_REASONS];
 
-/** What a caller sets when it creates a program. */
+/** Parameters of a new program. */
 export interface ProgramSpec {
   readonly outfit: string;
   readonly requestId: string;
   readonly parent?: string;
-  /** SHA-256 of what the caller asked for, to know a resent request by. */
+  /** SHA-256 of the caller's request, to recognize a resent request. */
   readonly askedDigest: string;
-  /** Higher runs first; a child without one has its parent's. */
+  /** Higher runs first; a child without a priority inherits its parent's. */
   readonly priority?: number;
-  /** Tokens, sent and generated, of the program and its children. */
+  /** Limit on sent and generated tokens of the program and its children. */
   readonly tokenBudget: number;
   readonly turnLimit: number;
-  /** The program ends this long after it was created. */
+  /** Time from the creation of the program to its end. */
   readonly deadlineMilliseconds: number;
-  /** The program ends when it makes no call for this long. */
+  /** Time without a call after which the program ends. */
   readonly leaseMilliseconds: number;
 }
 
-/** A program as its caller sees it. */
+/** State of a program, as returned to its caller. */
 export interface ProgramView {
   readonly programId: string;
   readonly parent?: string;
--- a/packages/core/src/types/quotas.ts
+++ b/packages/core/src/types/quotas.ts
@@ -1,38 +1,40 @@
-/** Messages on permits to send requests under the quotas of workspaces. */
+/** Messages that grant permits to send requests under workspace quotas. */
 
-/** A bound on the requests of a workspace, as the asker's document has it. */
+/** Quota of a workspace, from the routing document of the requester. */
 export interface QuotaBound {
   readonly workspace: string;
-  /** Version of the document; the bound of the highest version counts. */
+  /** Version of the document; the quota of the highest version applies. */
   readonly version: number;
-  /** Most requests within any span of this length. */
+  /** Maximum number of requests in any window of `spanMilliseconds`. */
   readonly most: number;
   readonly spanMilliseconds: number;
 }
 
-/** Asks for permits to send requests of a workspace. */
+/** Requests permits to send requests of a workspace. */
 export interface QuotaCharge extends QuotaBound {
-  /** Permits for requests that wait. */
+  /** Permits for requests that are waiting. */
   readonly needed: number;
-  /** Permits beyond them, which are given while the bound is not near. */
+  /** Additional permits, granted while usage is not close to the quota. */
   readonly spare: number;
 }
 
-/** Answer to a {@linkcode QuotaCharge}. */
+/** Reply to a {@linkcode QuotaCharge}. */
 export interface QuotaGrant {
   readonly granted: number;
-  /** When the next permit may be had, ms; 0 if all that were needed are given. */
+  /**
+   * Time until the next permit is available, ms; 0 if all needed were granted.
+   */
   readonly retryAfterMilliseconds: number;
 }
 
-/** Asks for permits of several workspaces. */
+/** Requests permits for several workspaces. */
 export interface TakePermits {
-  /** Names the request among all that its daemon makes. */
+  /** Identifies the request among all requests of its daemon. */
   readonly id: string;
   readonly charges: readonly QuotaCharge[];
 }
 
-/** Answer to {@linkcode TakePermits}, in the order of the charges. */
+/** Reply to {@linkcode TakePermits}, in the order of the charges. */
 export interface PermitsTaken {
   readonly grants: readonly QuotaGrant[];
 }
--- a/packages/core/src/types/resources.ts
+++ b/packages/core/src/types/resources.ts
@@ -1,4 +1,4 @@
-/** Resources that operators declare. */
+/** Configuration resources that operators declare. */
 
 /** Kinds of resources. */
 export const RESOURCE_KINDS = {
@@ -14,16 +14,16 @@
 /** One of {@linkcode RESOURCE_KINDS}. */
 export type ResourceKind = typeof RESOURCE_KINDS[keyof typeof RESOURCE_KINDS];
 
-/** An upstream: one engine or one instance of a plain service. */
+/** An upstream: a model engine or an instance of a service. */
 export interface UpstreamSpec {
   readonly type: "model" | "service";
-  /** Models and adapters that the engine should have loaded. */
+  /** Models and adapters that the engine should keep loaded. */
   readonly models: readonly string[];
-  /** Service that the instance is part of. */
+  /** Service that the instance belongs to. */
   readonly service: string;
-  /** Engine role: mixed, prefill or decode. */
+  /** Phases that the engine runs: prefill, decode or both (mixed). */
   readonly role: "mixed" | "prefill" | "decode";
-  /** True while the upstream is leaving. */
+  /** True while the upstream is draining and gets no new work. */
   readonly drain: boolean;
 }
 
@@ -39,13 +39,13 @@
   readonly version: string;
 }
 
-/** A plain service. */
+/** A service that is not a model. */
 export interface ServiceSpec {
   /** Operations that may run more than once. */
   readonly idempotent_operations: readonly string[];
 }
 
-/** An outfit, its tokens and what its programs may use. */
+/** An outfit, its bearer tokens and what its programs may use. */
 export interface OutfitSpec {
   /** SHA-256 of each bearer token, in hexadecimal. */
   readonly token_sha256: readonly string[];
@@ -66,7 +66,7 @@
   readonly level: number;
 }
 
-/** Spec type for each kind. */
+/** Maps each kind to the type of its spec. */
 export interface ResourceSpecs {
   readonly upstream: UpstreamSpec;
   readonly model: ModelSpec;
@@ -81,31 +81,31 @@
 export interface Resource<K extends ResourceKind = ResourceKind> {
   readonly kind: K;
   readonly name: string;
-  /** Counts the changes of this resource, from 1. */
+  /** Number of changes to this resource; 1 when it is created. */
   readonly version: number;
-  /** Global revision of the last change of this resource. */
+  /** Global revision at which this resource last changed. */
   readonly revision: number;
   readonly spec: ResourceSpecs[K];
 }
 
-/** One change, as a watcher sees it. */
+/** A change to a resource, as sent to watchers. */
 export interface ResourceChange {
   readonly revision: number;
   readonly kind: ResourceKind;
   readonly name: string;
-  /** The new state; missing when the resource was deleted. */
+  /** The new state; missing if the resource was deleted. */
   readonly resource?: Resource;
 }
 
-/** A write that an operator orders. */
+/** An operator's order to create, update or delete a resource. */
 export interface ResourceOrder {
-  /** Idempotency key: a resent order gets its first answer. */
+  /** Idempotency key: an order that is sent again gets the first result. */
   readonly orderId: string;
   readonly kind: ResourceKind;
   readonly name: string;
-  /** Version that the operator saw; 0 for a new resource. */
+  /** Version that the change is based on; 0 for a new resource. */
   readonly expectedVersion: number;
-  /** The new spec; missing to delete the resource. */
+  /** The new spec; missing if the resource is to be deleted. */
   readonly spec?: ResourceSpecs[ResourceKind];
 }
 
--- a/packages/core/src/types/routing.ts
+++ b/packages/core/src/types/routing.ts
@@ -1,79 +1,84 @@
-/** The routing document: what an operator declares as a whole, under one version. */
+/** The routing document, which operators replace as a whole, and its parts. */
 
-/** What may be repeated of a route's requests. */
+/** Whether the requests of a route may be repeated. */
 export const ROUTE_KINDS = {
   /** May run more than once. */
   IDEMPOTENT: "idempotent",
-  /** Runs at most once for each attempt of a caller. */
+  /** Runs at most once per attempt of the caller. */
   ONCE: "once",
-  /** Answers with a series of events; runs at most once unless it may be resumed. */
+  /**
+   * Answers with a stream of events; runs at most once unless it is resumable.
+   */
   STREAM: "stream",
 } as const;
 
 /** One of {@linkcode ROUTE_KINDS}. */
 export type RouteKind = typeof ROUTE_KINDS[keyof typeof ROUTE_KINDS];
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests, by weight. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Sends the requests below a path of a host to services. */
+/** Routes the requests for a host and path prefix to services. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Longest time that a request is held. */
+  /** Maximum time for a request. */
   readonly timeoutMilliseconds: number;
-  /** Time within which an answer is worth most; 0 if none is given. */
+  /** Target latency of an answer; 0 if there is none. */
   readonly targetMilliseconds: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Most upstreams that one attempt of a caller may be sent to. */
+  /** Maximum number of upstreams tried for one attempt of the caller. */
   readonly maxAttempts: number;
-  /** True if a turn brings its new input only, and the site keeps the rest. */
+  /**
+   * True if a turn sends only its new input, because the site keeps the
+   * history.
+   */
   readonly keepsHistory: boolean;
   readonly retentionMilliseconds: number;
   /**
-   * True if a stream that breaks off may go on at another upstream after the
-   * last event that was passed on; false if missing.
+   * True if a broken stream may be resumed at another upstream after the last
+   * event that the caller received; defaults to false.
    */
   readonly isResumable?: boolean;
-  /** True if an upstream that has seen an object lately is faster for it. */
+  /** True if upstreams answer faster for objects that they served recently. */
   readonly prefersSameUpstream: boolean;
-  /** True if callers need no key; false if missing. */
+  /** True if callers need no key; defaults to false. */
   readonly isPublic?: boolean;
 }
 
-/** A group of like upstreams. */
+/** A group of interchangeable upstreams. */
 export interface Service {
   readonly name: string;
-  /** Most connections that one upstream takes from all callers together. */
+  /** Maximum connections to one upstream, over all of its clients. */
   readonly maxConnections: number;
-  /** Tokens that one event of a stream stands for. */
+  /** Tokens that are counted for each event of a stream. */
   readonly tokensPerEvent: number;
   /** True if the upstreams are model engines. */
   readonly isEngine: boolean;
 }
 
-/** Callers that share keys, a priority, a quota and their programs. */
+/** A tenant: callers that share keys, a priority, a quota and programs. */
 export interface Workspace {
   readonly name: string;
-  /** SHA-256 of each key, lowercase hexadecimal; the keys are not kept. */
+  /** SHA-256 of each key, lowercase hexadecimal; the keys are not stored. */
   readonly keyDigests: readonly string[];
-  /** Goes before the priority of a route; 0 is the most urgent. */
+  /** Overrides the priority of a route; 0 is the most urgent. */
   readonly priority?: number;
-  /** Requests a second over all gateways together; 0 for no limit. */
+  /** Maximum requests per second over all gateways together; 0 for no limit. */
   readonly ratePerSecond: number;
-  /** Requests above the rate that may come at once. */
+  /** Requests beyond the rate that are accepted in a burst. */
   readonly burst: number;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on the requests of callers. */
 export interface RoutingLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -81,33 +86,35 @@
   readonly idleTimeoutMilliseconds: number;
 }
 
-/** The whole document. */
+/** The complete routing document. */
 export interface RoutingDocument {
-  /** The highest version wins; the first content under a version stands. */
+  /**
+   * The highest version is in force; the content of a version never changes.
+   */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: RoutingLimits;
-  /** Callers need no key where there are none; missing in earlier releases. */
+  /** Without workspaces callers need no key; missing in earlier releases. */
   readonly workspaces?: readonly Workspace[];
 }
 
-/** One upstream of the instance list. */
+/** An upstream in the instance list. */
 export interface UpstreamInstance {
-  /** New at each start of the upstream. */
+  /** Id that changes at each start of the upstream. */
   readonly id: string;
   /**
-   * Id that the upstream itself goes by, which it may keep over a start; the
-   * same as `id` if missing.
+   * Id that the upstream uses for itself, which may stay the same over
+   * restarts; equal to `id` if missing.
    */
   readonly ownId?: string;
-  /** When the upstream started, by its own clock, Unix ms; if it is told. */
+  /** Start time by the upstream's own clock, Unix ms; missing if unknown. */
   readonly bornAt?: number;
   readonly service: string;
   readonly address: string;
   readonly failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Requests that it processes concurrently. */
   readonly slots: number;
-  /** True if it is about to end and must get no new work. */
+  /** True if it is about to stop and must get no new work. */
   readonly leaving: boolean;
 }
--- a/packages/core/src/types/sidecars.ts
+++ b/packages/core/src/types/sidecars.ts
@@ -1,11 +1,11 @@
-/** Sidecars and what they report. */
+/** Sidecars and their reports. */
 
-/** A sidecar's report to the replicas. */
+/** Periodic report of a sidecar to the replicas. */
 export interface SidecarReport {
   readonly sidecarId: string;
-  /** New at each start of the process. */
+  /** Id that changes at each start of the process. */
   readonly bootId: string;
-  /** Where the sidecar listens, host:port. */
+  /** Address that the sidecar listens on, host:port. */
   readonly address: string;
   readonly failureDomain: string;
   readonly type: "model" | "service";
@@ -17,21 +17,21 @@
   readonly queued: number;
   readonly slots: number;
   readonly queueLimit: number;
-  /** Milliseconds one decoding step takes, smoothed. */
+  /** Smoothed duration of a decoding step, ms. */
   readonly stepMilliseconds: number;
-  /** Programs with cached tokens that changed since the last report. */
+  /** Programs whose cached tokens changed since the last report. */
   readonly cacheChanges: readonly CacheChange[];
-  /** Revision of the configuration in force. */
+  /** Revision of the configuration that the sidecar applies. */
   readonly revision: number;
 }
 
-/** Cached prompt tokens of one program on one engine. */
+/** Number of prompt tokens of a program that the engine has cached. */
 export interface CacheChange {
   readonly programId: string;
   readonly tokens: number;
 }
 
-/** A sidecar as a replica knows it. */
+/** The last report of a sidecar, as a replica stores it. */
 export interface SidecarStatus {
   readonly report: SidecarReport;
   readonly lastReportAt: number;
--- a/packages/core/src/types/site.ts
+++ b/packages/core/src/types/site.ts
@@ -1,246 +1,267 @@
-/** Messages between gateways and stores, and of the directory of daemons. */
+/** Messages between gateways and stores, and of the daemon directory. */
 
 import type { InstanceListReply } from "./instances.ts";
 import type { QuotaBound, QuotaCharge } from "./quotas.ts";
 import type { RoutingDocument } from "./routing.ts";
 
-/** What a daemon tells of itself and has heard of others. */
+/** Directory record of a daemon, spread by gossip between daemons. */
 export interface DaemonRecord {
   readonly name: string;
-  /** New at each start of the process. */
+  /** Id that changes at each start of the process. */
   readonly bootId: string;
-  /** Where other daemons reach it. */
+  /** Address at which other daemons reach it. */
   readonly address: string;
   readonly roles: readonly string[];
   readonly failureDomain: string;
-  /** Time since the daemon itself was heard, by whoever tells it. */
+  /**
+   * Time since the sender of the record last had news from the daemon itself.
+   */
   readonly ageMilliseconds: number;
 }
 
-/** Tells the sender's directory; the answer tells the receiver's. */
+/** Sends the sender's directory; the reply holds the receiver's. */
 export interface DirectoryExchange {
   readonly records: readonly DaemonRecord[];
-  /** True if the answer need not tell anything. */
+  /** True if the reply may be empty. */
   readonly isOnlyTold?: boolean;
 }
 
-/** Tells which records the sender holds, and how old its word on each is. */
+/** Summarizes which records the sender has, and their ages. */
 export interface DirectoryComparison {
-  /** A packed summary; see the directory's module of that name. */
+  /** A packed summary, in the format of the directory package. */
   readonly known: Uint8Array;
 }
 
-/** What the receiver of a {@linkcode DirectoryComparison} holds otherwise. */
+/**
+ * Reply to a {@linkcode DirectoryComparison}: how the receiver's records
+ * differ.
+ */
 export interface DirectoryDifference {
   /** Records that the sender lacks. */
   readonly records: readonly DaemonRecord[];
-  /** A packed summary of those that the receiver has heard of later. */
+  /** A packed summary of the records for which the receiver has later news. */
   readonly fresher: Uint8Array;
-  /** A packed summary of those that the receiver lacks. */
+  /** A packed summary of the records that the receiver lacks. */
   readonly wanted: Uint8Array;
 }
 
-/** Asks a seed for its grant to found the site. */
+/** Asks a seed for permission to found the site. */
 export interface FoundingClaim {
   readonly name: string;
   readonly bootId: string;
-  /** True to give an earlier grant back, since too few were given. */
+  /** True to return an earlier grant, because too few seeds gave theirs. */
   readonly isReturned?: boolean;
 }
 
-/** A seed's answer to a {@linkcode FoundingClaim}. */
+/** Reply of a seed to a {@linkcode FoundingClaim}. */
 export interface FoundingGrant {
   readonly granted: boolean;
 }
 
-/** Asks the leader for what has changed, and confirms what has not. */
+/**
+ * Long poll of the leader for changes to the document and the instance list.
+ */
 export interface FollowRequest {
   readonly daemon: string;
-  /** Newest version that the gateway has been told of; -1 before the first. */
+  /** Newest version that the gateway knows of; -1 if it knows of none. */
   readonly documentVersion: number;
-  /** Revision of the instance list that the gateway has; empty if none. */
+  /**
+   * Revision of the instance list that the gateway has; empty if it has none.
+   */
   readonly listRevision: string;
-  /** Time since that list was read; Infinity if none, missing in earlier releases. */
+  /** Age of that list; Infinity without one, missing in earlier releases. */
   readonly listAgeMilliseconds?: number;
-  /** How long the leader may wait for a change. */
+  /** Time that the leader may hold the request open while nothing changes. */
   readonly holdMilliseconds: number;
 }
 
 /**
- * Answer to a {@linkcode FollowRequest}; what has not changed is missing. Of the
- * document it tells the version only: its bytes are fetched beside.
+ * Reply to a {@linkcode FollowRequest}; unchanged parts are missing. It holds
+ * only the version of the document, whose bytes are fetched separately.
  */
 export interface FollowReply extends InstanceListReply {
   readonly documentVersion: number;
-  /** Only from a leader of an earlier release, which tells the whole of it. */
+  /**
+   * Set only by leaders of earlier releases, which send the complete document.
+   */
   readonly document?: RoutingDocument;
   /**
-   * Time from the arrival of the request to the newest moment at which a quorum
-   * confirmed that this leader led, so that the version was the newest; below 0
-   * if that was before. Missing in earlier releases.
+   * Time from the arrival of the request to the latest time at which a quorum
+   * confirmed the leadership, so that the version was the newest then; negative
+   * if that was before the arrival. Missing in earlier releases.
    */
   readonly confirmedMilliseconds?: number;
 }
 
 /**
- * A routing document as it travels and is kept: packed bytes that only whoever
- * routes by them, or gives them back to an operator, unpacks.
+ * A routing document in the packed form in which it is sent and stored. Only
+ * gateways that route by it or return it to an operator unpack it.
  */
 export interface PackedDocument {
   readonly version: number;
-  /** Routes and services first, then the operator's own text. */
+  /** Routes and services, followed by the operator's source text. */
   readonly bytes: Uint8Array;
-  /** How many of the bytes are the routes and services. */
+  /** Number of bytes at the start that hold the routes and services. */
   readonly routingBytes: number;
 }
 
-/** Adds a part of a packed document; the last one puts it in force. */
+/** Uploads a part of a packed document; the last part puts it in force. */
 export interface PutDocumentPart {
   readonly version: number;
-  /** Digest of the whole, under which parts of several senders come together. */
+  /**
+   * Digest of the whole document, by which parts from several senders are
+   * combined.
+   */
   readonly digest: string;
   readonly totalBytes: number;
   readonly routingBytes: number;
-  /** Where the part begins in the whole. */
+  /** Offset of the part in the whole document. */
   readonly offset: number;
   readonly part: Uint8Array;
 }
 
-/** Answer to a {@linkcode PutDocumentPart}. */
+/** Reply to a {@linkcode PutDocumentPart}. */
 export interface DocumentProgress {
   /** Version that is in force now. */
   readonly version: number;
-  /** Bytes of the sender's document that have come in, as far as it still matters. */
+  /**
+   * Bytes of the document received so far; 0 without a pending upload of it.
+   */
   readonly heldBytes: number;
 }
 
-/** What of a packed document a reader is after. */
+/** Forms in which a packed document can be read. */
 export const DOCUMENT_FORMS = {
-  /** Routes and services, to route by. */
+  /** Only the routes and services, for routing. */
   ROUTING: "routing",
-  /** The operator's own text, to give back. */
+  /** The operator's source text, to return it to operators. */
   SOURCE: "source",
 } as const;
 
 /** One of {@linkcode DOCUMENT_FORMS}. */
 export type DocumentForm = typeof DOCUMENT_FORMS[keyof typeof DOCUMENT_FORMS];
 
-/** Asks the leader for a part of one form of a document. */
+/** Requests a part of one form of a document from the leader. */
 export interface ReadDocumentPart {
-  /** Version to read; whichever is in force if it is not kept any more. */
+  /** Version to read; if it is no longer stored, the one in force is read. */
   readonly version: number;
   readonly form: DocumentForm;
   readonly offset: number;
-  /** Most bytes of the part. */
+  /** Maximum size of the part, bytes. */
   readonly mostBytes: number;
 }
 
-/** Answer to a {@linkcode ReadDocumentPart}. */
+/** Reply to a {@linkcode ReadDocumentPart}. */
 export interface DocumentPart {
-  /** Version that the part is of; -1 if there is no document yet. */
+  /** Version that the part belongs to; -1 if there is no document yet. */
   readonly version: number;
-  /** Bytes of the whole form. */
+  /** Total size of the form, bytes. */
   readonly totalBytes: number;
   readonly part: Uint8Array;
 }
 
-/** Tells that a change has been taken, or needs none. */
+/** Confirms that a document was accepted, or that no change was needed. */
 export interface DocumentAck {
   /** Version that is in force now. */
   readonly version: number;
 }
 
-/** Which document is the newest, confirmed by a quorum. */
+/** Version of the newest document, confirmed by a quorum. */
 export interface NewestDocument {
   /** -1 if there is none yet. */
   readonly version: number;
 }
 
-/** The newest document, as its operator wrote it. */
+/** Source text of the newest document, as the operator wrote it. */
 export interface DocumentSource {
   /** -1 if there is none yet. */
   readonly version: number;
   readonly source: Uint8Array;
 }
 
-/** One turn of a history as it is kept. */
+/** A turn of a program's history, as it is stored. */
 export interface KeptTurn {
   readonly turnId: string;
-  /** Turn that it goes on from; empty at the start of a line. */
+  /** Turn that this one continues; empty at the start of a turn chain. */
   readonly previousId: string;
   readonly input: Uint8Array;
   readonly output: Uint8Array;
-  /** Instance id of the upstream that ran it. */
+  /** Instance id of the upstream that ran the turn. */
   readonly upstream: string;
 }
 
-/** Begins a turn: finds what it goes on from and reserves its tokens. */
+/** Begins a turn: reserves its tokens and reads the turns that it continues. */
 export interface BeginTurn extends TurnReserve {
-  /** First turn, seen backwards, that the gateway lacks; empty if it has all. */
+  /** Latest turn of the chain that the gateway lacks; empty if it has all. */
   readonly missingFrom: string;
   /**
-   * Turns that the gateway holds with all before them, so that only later ones
-   * need be sent; missing where a gateway holds none.
+   * Turns that the gateway has together with all earlier ones, so that only
+   * later ones need to be sent; missing if it has none.
    */
   readonly knownTurns?: readonly string[];
 }
 
-/** What the reserve of a turn is decided by. */
+/** Reserves tokens and quota for a turn. */
 export interface TurnReserve {
   readonly turnId: string;
   readonly programId: string;
-  /** Empty at the start of a line. */
+  /** Turn that this one continues; empty at the start of a turn chain. */
   readonly previousId: string;
-  /** Tokens that the program may generate in all; -1 if not limited. */
+  /** Tokens that the program may generate in total; -1 for no limit. */
   readonly tokenBudget: number;
-  /** Most tokens that this turn may generate. */
+  /** Maximum number of tokens that this turn may generate. */
   readonly mostTokens: number;
-  /** Quota that the turn is charged to; missing if there is none. */
+  /** Quota to which the turn is charged; missing if there is none. */
   readonly quota?: QuotaBound;
 }
 
-/** Answer to a {@linkcode BeginTurn}. */
+/** Reply to a {@linkcode BeginTurn}. */
 export interface TurnBegun {
-  /** The turns from `missingFrom` back to one that is known, newest first. */
+  /** The turns from `missingFrom` back to a known one, newest first. */
   readonly turns: readonly KeptTurn[];
-  /** Upstream that ran the program's latest turn; empty if nobody remembers. */
+  /** Upstream that ran the program's latest turn; empty if unknown. */
   readonly latestUpstream?: string;
   /**
-   * True if the turn was charged to its quota for this request; a turn that had
-   * been begun before was charged then.
+   * True if this request charged the turn to its quota; a turn that had already
+   * begun was charged by the earlier request.
    */
   readonly isCharged?: boolean;
 }
 
-/** Ends a turn: settles its reserve and keeps it if it was whole. */
+/**
+ * Ends a turn: settles its token reservation and stores it if it is complete.
+ */
 export interface EndTurn {
   readonly turnId: string;
   readonly programId: string;
   readonly previousId: string;
-  /** True if the caller is about to get the whole answer. */
+  /** True if the answer is complete and about to be sent to the caller. */
   readonly whole: boolean;
-  /** Tokens that went to the caller. */
+  /** Tokens that were sent to the caller. */
   readonly tokens: number;
   readonly input: Uint8Array;
   readonly output: Uint8Array;
   readonly upstream: string;
   readonly retentionMilliseconds: number;
-  /** Permits for the requests that are likely to follow; missing if none are. */
+  /**
+   * Permits for requests that are expected to follow; missing if there are
+   * none.
+   */
   readonly charge?: QuotaCharge;
 }
 
-/** Answer to an {@linkcode EndTurn}. */
+/** Reply to an {@linkcode EndTurn}. */
 export interface TurnEnded {
-  /** Permits that were given; missing if none were asked for. */
+  /** Permits that were granted; missing if none were requested. */
   readonly permits?: number;
 }
 
-/** Asks for a store to be emptied. */
+/** Names the store to retire, or the one whose retirement is asked about. */
 export interface RetireStore {
   readonly name: string;
 }
 
-/** How far a retirement is. */
+/** Progress of a retirement. */
 export interface RetireState {
   readonly done: boolean;
 }
