--- a/packages/core/src/logs/repeat_limit_test.ts
+++ b/packages/core/src/logs/log_rate_limiter_test.ts
@@ -1,5 +1,5 @@
 import { test } from "tap";
-import { RepeatLimit } from "./repeat_limit.ts";
+import { RepeatLimit } from "./log_rate_limiter.ts";
 
 test("one line per subject and interval is allowed, and the others are counted", (t) => {
   const limit = new RepeatLimit(1_000);
--- a/packages/core/src/shared/turn_queue_test.ts
+++ b/packages/core/src/shared/serial_queue_test.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { test } from "tap";
-import { TurnQueue } from "./turn_queue.ts";
+import { TurnQueue } from "./serial_queue.ts";
 
 test("tasks run one after another, also after a failed one", async (t) => {
   const queue = new TurnQueue();
--- a/packages/core/src/shared/token_measure.ts
+++ b/packages/core/src/shared/token_estimate.ts
@@ -1,4 +1,4 @@
-/** The measure of tokens that budgets are kept in. */
+/** Estimates the tokens of prompt messages for token budgets. */
 
 import { Buffer } from "node:buffer";
 import type { ChatMessage } from "../types/calls.ts";
@@ -7,9 +7,10 @@
 const TOKENS_PER_MESSAGE = 4;
 
 /**
- * Measures new prompt messages in tokens: one for every four bytes of UTF-8,
- * rounded up, and four for each message. Engines count differently; budgets
- * use this measure for what a caller sends, so that a reservation is exact.
+ * Returns the number of tokens that a budget is charged for new prompt messages:
+ * one for every four bytes of UTF-8, rounded up, and four for each message.
+ * Engines count differently, but budgets charge what a caller sends by this
+ * estimate, so that a reservation is exact.
  *
  * @example
  * ```ts
