--- a/packages/core/src/result/result_codes.ts
+++ b/packages/core/src/result/result_codes.ts
@@ -67,7 +67,7 @@
   VERSION_CONFLICT: defineCode(1007, "VERSION_CONFLICT", {
     httpStatus: 409,
     notRun: true,
-    meaning: "The resource has another version than the order expects.",
+    meaning: "The resource has a different version than the order expects.",
   }),
   REQUEST_ID_REUSED: defineCode(1008, "REQUEST_ID_REUSED", {
     httpStatus: 409,
@@ -87,18 +87,18 @@
   REVISION_GONE: defineCode(1011, "REVISION_GONE", {
     httpStatus: 410,
     notRun: true,
-    meaning: "The watch starts before the oldest change that is kept.",
+    meaning: "The watch starts before the oldest stored change.",
   }),
 
   TURN_NOT_FOUND: defineCode(1012, "TURN_NOT_FOUND", {
     httpStatus: 404,
     notRun: true,
-    meaning: "The turn to go on from does not exist or is no longer kept.",
+    meaning: "The previous turn does not exist or is no longer stored.",
   }),
   INVALID_DOCUMENT: defineCode(1013, "INVALID_DOCUMENT", {
     httpStatus: 400,
     notRun: true,
-    meaning: "The routing document is not valid; nothing of it is in force.",
+    meaning: "The routing document is not valid; no part of it was applied.",
   }),
   DAEMON_NOT_FOUND: defineCode(1014, "DAEMON_NOT_FOUND", {
     httpStatus: 404,
@@ -108,7 +108,7 @@
   TOO_FEW_STORES: defineCode(1015, "TOO_FEW_STORES", {
     httpStatus: 409,
     notRun: true,
-    meaning: "Too few stores would be left.",
+    meaning: "Too few stores would remain.",
   }),
   QUEUE_FULL: defineCode(2001, "QUEUE_FULL", {
     httpStatus: 503,
@@ -153,7 +153,7 @@
   DRAINING: defineCode(2009, "DRAINING", {
     httpStatus: 503,
     notRun: true,
-    meaning: "The process or upstream is leaving and takes no new work.",
+    meaning: "The process or upstream is draining and accepts no new work.",
   }),
   STALE_TERM: defineCode(2010, "STALE_TERM", {
     httpStatus: 503,
@@ -168,7 +168,7 @@
   TOO_MANY_CALLS: defineCode(2012, "TOO_MANY_CALLS", {
     httpStatus: 429,
     notRun: true,
-    meaning: "Too many calls of this program or outfit wait already.",
+    meaning: "Too many calls of this program or outfit are already waiting.",
   }),
 
   NO_QUORUM: defineCode(2013, "NO_QUORUM", {
@@ -179,17 +179,17 @@
   OVERLOADED: defineCode(2014, "OVERLOADED", {
     httpStatus: 503,
     notRun: true,
-    meaning: "The gateway holds as many requests as it may.",
+    meaning: "The gateway has reached its limit of open requests.",
   }),
   LEADER_BUSY: defineCode(2015, "LEADER_BUSY", {
     httpStatus: 503,
     notRun: true,
-    meaning: "The leader could not decide the command in time.",
+    meaning: "The leader could not process the command in time.",
   }),
   QUOTA_EXCEEDED: defineCode(2016, "QUOTA_EXCEEDED", {
     httpStatus: 429,
     notRun: true,
-    meaning: "The workspace has used up its quota of requests for now.",
+    meaning: "The workspace has used up its request quota for now.",
   }),
   OUTCOME_UNKNOWN: defineCode(3001, "OUTCOME_UNKNOWN", {
     httpStatus: 502,
@@ -204,40 +204,41 @@
   RETRIES_EXHAUSTED: defineCode(3003, "RETRIES_EXHAUSTED", {
     httpStatus: 502,
     notRun: false,
-    meaning: "An idempotent call failed on every attempt it was allowed.",
+    meaning: "An idempotent call failed on every allowed attempt.",
   }),
   CANCELLED: defineCode(3004, "CANCELLED", {
     httpStatus: 409,
     notRun: false,
-    meaning: "The program ended while the call was under way.",
+    meaning: "The program ended while the call was in progress.",
   }),
   STREAM_BROKEN: defineCode(3005, "STREAM_BROKEN", {
     httpStatus: 502,
     notRun: false,
     meaning:
-      "The stream could not be continued; the whole answer is in the history.",
+      "The stream could not be continued; the complete answer is in the history.",
   }),
   OWNER_LOST: defineCode(3006, "OWNER_LOST", {
     httpStatus: 503,
     notRun: false,
     meaning:
-      "The owner was lost while it had the call. Send the same request id again.",
+      "The owner was lost while it handled the call. Send the request again with the same id.",
   }),
 
   CALL_TIMEOUT: defineCode(3007, "CALL_TIMEOUT", {
     httpStatus: 504,
     notRun: false,
-    meaning: "The time of the route or of the caller ran out.",
+    meaning: "The timeout of the route or of the caller expired.",
   }),
   ANSWER_SPOILED: defineCode(3008, "ANSWER_SPOILED", {
     httpStatus: 502,
     notRun: false,
-    meaning: "The upstream broke off or sent bytes that are no whole answer.",
+    meaning:
+      "The upstream broke off or sent an incomplete or malformed answer.",
   }),
   CALLER_LEFT: defineCode(3009, "CALLER_LEFT", {
     httpStatus: 499,
     notRun: false,
-    meaning: "The caller closed its connection before the answer was whole.",
+    meaning: "The caller closed its connection before the answer was complete.",
   }),
   FRAME_TOO_LARGE: defineCode(4001, "FRAME_TOO_LARGE", {
     httpStatus: 500,
@@ -252,7 +253,8 @@
   HANDSHAKE_REFUSED: defineCode(4003, "HANDSHAKE_REFUSED", {
     httpStatus: 500,
     notRun: true,
-    meaning: "The peer did not prove the shared key or speaks another version.",
+    meaning:
+      "The peer did not prove the shared key or uses a different version.",
   }),
   NOT_LEADER: defineCode(4004, "NOT_LEADER", {
     httpStatus: 503,
@@ -287,12 +289,12 @@
   LEADERSHIP_LOST: defineCode(4010, "LEADERSHIP_LOST", {
     httpStatus: 503,
     notRun: false,
-    meaning: "The replica stopped leading before the outcome was known to it.",
+    meaning: "The replica lost the leadership before it knew the outcome.",
   }),
   INTERNAL: defineCode(5001, "INTERNAL", {
     httpStatus: 500,
     notRun: false,
-    meaning: "A fault inside mallowlift; the log has the details.",
+    meaning: "An internal error of mallowlift; the log has the details.",
   }),
 } as const;
 
--- a/packages/core/src/settings/fields.ts
+++ b/packages/core/src/settings/fields.ts
@@ -123,7 +123,7 @@
     fallback: options.fallback,
     roles: options.roles,
     description,
-    allowed: "an IP number and a port, such as 127.0.0.1:7100",
+    allowed: "an IP address and a port, such as 127.0.0.1:7100",
     parse: (text) => isAddress(text) ? text : undefined,
   };
 }
@@ -169,7 +169,8 @@
     fallback: options.fallback,
     roles: options.roles,
     description,
-    allowed: "IP numbers with ports, such as 127.0.0.1:7100, by commas",
+    allowed:
+      "IP addresses with ports, such as 127.0.0.1:7100, separated by commas",
     parse(text) {
       if (text.trim() === "") return [];
       const addresses = text.split(",").map((part) => part.trim());
--- a/packages/core/src/settings/schema.ts
+++ b/packages/core/src/settings/schema.ts
@@ -40,19 +40,22 @@
       choices: [ENTRY, REPLICA, SIDECAR, GATEWAY, STORE],
     }),
     failureDomain: textField("Failure domain of this instance."),
-    logLevel: choiceField("Least level that is logged.", {
+    logLevel: choiceField("Minimum level that is logged.", {
       choices: ["debug", "info", "warn", "error"],
       fallback: "info",
     }),
-    healthListen: addressField("Where health and metrics are served.", {
-      fallback: "127.0.0.1:0",
-    }),
+    healthListen: addressField(
+      "Address at which health and metrics are served.",
+      {
+        fallback: "127.0.0.1:0",
+      },
+    ),
     metricsListen: addressField(
-      "Where metrics are served besides; nowhere else if the port is 0.",
+      "Additional address at which metrics are served; none if the port is 0.",
       { fallback: "0.0.0.0:0" },
     ),
     stopMilliseconds: numberField(
-      "Longest time that a planned stop waits for open requests.",
+      "Maximum time that a planned stop waits for open requests.",
       {
         fallback: 60_000,
         min: 100,
@@ -60,36 +63,39 @@
       },
     ),
     killSeconds: decimalField(
-      "Time from the order to stop until the process is killed; 0 if it is not.",
+      "Time from the stop signal until the process is killed; 0 if it is not killed.",
       { fallback: 0, min: 0, max: 3_600 },
     ),
   },
   network: {
-    listen: addressField("Where this daemon listens for other daemons.", {
-      fallback: "127.0.0.1:0",
-    }),
+    listen: addressField(
+      "Address on which this daemon listens for other daemons.",
+      {
+        fallback: "127.0.0.1:0",
+      },
+    ),
     advertise: addressField(
-      "Address that other daemons reach this one at; `listen` if missing.",
+      "Address at which other daemons reach this one; defaults to `listen`.",
       {
         fallback: "0.0.0.0:0",
       },
     ),
     sharedKey: textField(
-      "Key that every daemon of the site proves to the others.",
+      "Key that every daemon of the site must prove to the others.",
     ),
     replicas: replicasField("All founding replicas of the site.", {
       roles: [ENTRY, REPLICA, SIDECAR],
     }),
     seeds: addressesField(
-      "Daemons that gateways and stores ask first for the others.",
+      "Daemons that gateways and stores contact first to discover the others.",
       { fallback: [] },
     ),
     seedPort: numberField(
-      "Port of the seeds for other daemons, if `seeds` has other ports; 0 if not.",
+      "Port that replaces the ports in `seeds`; 0 to use them as they are.",
       { fallback: 0, min: 0, max: 65_535 },
     ),
     directoryMilliseconds: numberField(
-      "Time between two exchanges of the directory of daemons.",
+      "Time between two exchanges of the daemon directory.",
       { fallback: 2_000, min: 20, max: 60_000 },
     ),
     programGroups: numberField(
@@ -101,7 +107,7 @@
       },
     ),
     maxFrameBytes: numberField(
-      "Largest internal frame, and largest routing document.",
+      "Maximum size of an internal frame and of a routing document.",
       {
         fallback: 16_777_216,
         min: 262_144,
@@ -109,7 +115,7 @@
       },
     ),
     connectMilliseconds: numberField(
-      "Longest time to connect and prove the key.",
+      "Timeout for connecting and proving the key.",
       {
         fallback: 1_000,
         min: 10,
@@ -118,24 +124,30 @@
     ),
   },
   entry: {
-    httpListen: addressField("Where callers and operators are served.", {
-      fallback: "127.0.0.1:8080",
-    }),
+    httpListen: addressField(
+      "Address at which callers and operators are served.",
+      {
+        fallback: "127.0.0.1:8080",
+      },
+    ),
     operatorTokenSha256: digestField(
       "SHA-256 of the operators' bearer token.",
       { roles: [ENTRY] },
     ),
-    maxBodyBytes: numberField("Largest body of a caller's request.", {
-      fallback: 2_097_152,
-      min: 1_024,
-      max: 67_108_864,
-    }),
+    maxBodyBytes: numberField(
+      "Maximum size of the body of a caller's request.",
+      {
+        fallback: 2_097_152,
+        min: 1_024,
+        max: 67_108_864,
+      },
+    ),
     staleMilliseconds: numberField(
       "Time without a confirmed configuration after which new work is refused.",
       { fallback: 4_000, min: 200, max: 60_000 },
     ),
     ownerWaitMilliseconds: numberField(
-      "Longest time to look for a leader before a request is refused.",
+      "Maximum time to look for a leader before a request is refused.",
       { fallback: 8_000, min: 100, max: 600_000 },
     ),
   },
@@ -159,7 +171,7 @@
       max: 10_000,
     }),
     electionMilliseconds: numberField(
-      "Least time without a heartbeat before an election; up to twice that at random.",
+      "Minimum time without a heartbeat before an election; chosen at random up to twice that.",
       { fallback: 600, min: 20, max: 60_000 },
     ),
     snapshotEntries: numberField(
@@ -171,7 +183,7 @@
       },
     ),
     standbyMilliseconds: numberField(
-      "Silence of a voter after which a standby takes its place.",
+      "Time without contact after which a standby replaces a voter.",
       { fallback: 30_000, min: 500, max: 86_400_000 },
     ),
     forgetMilliseconds: numberField(
@@ -182,12 +194,15 @@
         max: 604_800_000,
       },
     ),
-    callsPerProgram: numberField("Most calls of one program that may wait.", {
-      fallback: 16,
-      min: 1,
-      max: 10_000,
-    }),
-    maxAttempts: numberField("Most attempts for one call.", {
+    callsPerProgram: numberField(
+      "Maximum number of waiting calls of one program.",
+      {
+        fallback: 16,
+        min: 1,
+        max: 10_000,
+      },
+    ),
+    maxAttempts: numberField("Maximum number of attempts for one call.", {
       fallback: 4,
       min: 1,
       max: 100,
@@ -202,11 +217,11 @@
       fallback: "expected_finish",
     }),
     cacheWeight: decimalField(
-      "Weight of prompt tokens computed again against waiting time; 1 is neutral.",
+      "Weight of recomputed prompt tokens relative to waiting time; 1 is neutral.",
       { fallback: 1, min: 0, max: 100 },
     ),
     reportMilliseconds: numberField(
-      "Silence after which a sidecar gets no new work.",
+      "Time without a report after which a sidecar gets no new work.",
       {
         fallback: 2_500,
         min: 100,
@@ -216,7 +231,7 @@
   },
   sidecar: {
     upstream: textField(
-      "Name of the upstream that this sidecar stands beside.",
+      "Name of the upstream of this sidecar.",
       {
         roles: [SIDECAR],
       },
@@ -225,18 +240,18 @@
       choices: ["model", "service"],
       fallback: "model",
     }),
-    service: textField("Service that the upstream is part of.", {
+    service: textField("Service that the upstream belongs to.", {
       fallback: "none",
     }),
     upstreamUrl: urlField("HTTP address of the upstream.", {
       roles: [SIDECAR],
     }),
-    slots: numberField("Calls that the upstream runs at once.", {
+    slots: numberField("Number of calls that the upstream runs concurrently.", {
       fallback: 16,
       min: 1,
       max: 4_096,
     }),
-    queueLimit: numberField("Calls that may wait for a slot.", {
+    queueLimit: numberField("Maximum number of calls that wait for a slot.", {
       fallback: 64,
       min: 0,
       max: 100_000,
@@ -262,14 +277,14 @@
       },
     ),
     checksFencing: choiceField(
-      "Whether the engine refuses an old fencing number.",
+      "Whether the engine rejects outdated fencing numbers.",
       {
         choices: ["yes", "no"],
         fallback: "no",
       },
     ),
     leaseMilliseconds: numberField(
-      "Length of the lease on the orders to the engine.",
+      "Duration of the lease on the orders to the engine.",
       {
         fallback: 5_000,
         min: 200,
@@ -277,72 +292,72 @@
       },
     ),
     silentMilliseconds: numberField(
-      "Silence of the upstream within an answer after which the attempt has failed.",
+      "Time without data within an answer after which the attempt fails.",
       { fallback: 30_000, min: 50, max: 3_600_000 },
     ),
   },
   gateway: {
-    callersListen: addressField("Where callers are served.", {
+    callersListen: addressField("Address at which callers are served.", {
       fallback: "127.0.0.1:0",
     }),
-    operatorsListen: addressField("Where operators are served.", {
+    operatorsListen: addressField("Address at which operators are served.", {
       fallback: "127.0.0.1:0",
     }),
     leaderWaitMilliseconds: numberField(
-      "Longest time that a request waits for the leader of the stores, or for the first document.",
+      "Maximum time that a request waits for the leader of the stores, or for the first document.",
       { fallback: 2_500, min: 0, max: 60_000 },
     ),
     storeCallMilliseconds: numberField(
-      "Longest time for one call to a store before another try.",
+      "Timeout of one call to a store, after which it is retried.",
       { fallback: 400, min: 10, max: 60_000 },
     ),
     followMilliseconds: numberField(
-      "Longest time that the leader holds a request for changes.",
+      "Maximum time that the leader holds a request for changes.",
       { fallback: 400, min: 10, max: 60_000 },
     ),
     staleMilliseconds: numberField(
-      "Time without a word from the leader after which the gateway is not ready.",
+      "Time without contact with the leader after which the gateway is not ready.",
       { fallback: 2_500, min: 100, max: 60_000 },
     ),
     revocationMilliseconds: numberField(
-      "Time after its revocation from which no gateway accepts a key.",
+      "Time after the revocation of a key from which no gateway accepts it.",
       { fallback: 5_000, min: 500, max: 3_600_000 },
     ),
     quotaWindowSeconds: decimalField(
-      "Span over which the requests of a workspace are counted.",
+      "Length of the window in which the requests of a workspace are counted.",
       { fallback: 5, min: 0.5, max: 3_600 },
     ),
     quotaOverage: decimalField(
-      "Part of its quota by which a workspace may pass it within a window.",
+      "Fraction of its quota by which a workspace may exceed it within a window.",
       { fallback: 0, min: 0, max: 1 },
     ),
     quotaSlack: numberField(
-      "Requests by which a workspace may pass its quota within a window.",
+      "Number of requests by which a workspace may exceed its quota within a window.",
       { fallback: 0, min: 0, max: 1_000_000 },
     ),
     listStaleMilliseconds: numberField(
-      "Age of the instance list from which the gateway asks any store for it.",
+      "Age of the instance list from which the gateway requests it from any store.",
       { fallback: 2_000, min: 100, max: 60_000 },
     ),
     historyBytes: numberField(
-      "Memory for turns that the gateway has seen lately.",
+      "Memory for the cache of recent turns.",
       { fallback: 16_777_216, min: 0, max: 4_294_967_296 },
     ),
-    maxRequests: numberField("Requests that may be open at once.", {
+    maxRequests: numberField("Maximum number of open requests.", {
       fallback: 2_000,
       min: 1,
       max: 1_000_000,
     }),
     drainMilliseconds: numberField(
-      "Least time that a planned stop goes on taking requests.",
+      "Minimum time that a planned stop continues to accept requests.",
       { fallback: 2_500, min: 0, max: 60_000 },
     ),
     silentMilliseconds: numberField(
-      "Silence of an upstream after which an idempotent request goes elsewhere.",
+      "Time without data from an upstream after which an idempotent request is sent to another.",
       { fallback: 700, min: 20, max: 60_000 },
     ),
     connectMilliseconds: numberField(
-      "Longest time to connect to an upstream.",
+      "Timeout for connecting to an upstream.",
       {
         fallback: 300,
         min: 10,
@@ -350,7 +365,7 @@
       },
     ),
     idleMilliseconds: numberField(
-      "Rest after which a connection to an upstream is closed.",
+      "Idle time after which a connection to an upstream is closed.",
       { fallback: 20_000, min: 10, max: 600_000 },
     ),
   },
@@ -362,7 +377,7 @@
       "Whether the site starts for the first time, so that an empty store may found it.",
       { choices: ["yes", "no", "true", "false"], fallback: "no" },
     ),
-    tolerance: numberField("Stores that may be lost at once.", {
+    tolerance: numberField("Number of stores that may fail at the same time.", {
       fallback: 1,
       min: 0,
       max: 7,
@@ -373,7 +388,7 @@
       max: 10_000,
     }),
     electionMilliseconds: numberField(
-      "Least time without a heartbeat before an election; up to twice that at random.",
+      "Minimum time without a heartbeat before an election; chosen at random up to twice that.",
       { fallback: 300, min: 20, max: 60_000 },
     ),
     snapshotEntries: numberField(
@@ -385,11 +400,11 @@
       },
     ),
     replaceMilliseconds: numberField(
-      "Silence of a voter after which another store takes its place.",
+      "Time without contact after which another store replaces a voter.",
       { fallback: 1_600, min: 100, max: 86_400_000 },
     ),
     listAddress: textField(
-      "Where the instance list is read: an address, or a JSON file.",
+      "Source of the instance list: an address or a JSON file.",
       { fallback: "none" },
     ),
     listMilliseconds: numberField(
