--- a/packages/bench/src/integration/whole_path_test.ts
+++ b/packages/bench/src/integration/whole_path_test.ts
@@ -106,7 +106,7 @@
       const ended = await southClient.endProgram(id);
       for (const answer of [read, called, child, ended]) {
         t.equal(answer.status, 404);
-        t.equal(answer.body.error.message, "There is no such program");
+        t.equal(answer.body.error.message, "The program does not exist");
       }
     }
   });
--- a/packages/consensus/src/group/group_report.ts
+++ b/packages/consensus/src/group/group_report.ts
@@ -87,7 +87,7 @@
     const key = `${outcome} ${candidate} ${preVote}`;
     const repeats = this.#voteLimit.take(key, now);
     if (repeats === undefined) return;
-    this.#logger.info("Vote asked for", {
+    this.#logger.info("Vote requested", {
       group: this.#group,
       term,
       candidate,
--- a/packages/consensus/src/replica_groups.ts
+++ b/packages/consensus/src/replica_groups.ts
@@ -75,7 +75,9 @@
     await waitUntilWritable(this.#options.dataFolder, {
       signal: this.#stopped.signal,
       onWriteFailure: (reason) =>
-        this.#options.logger.warn("Waiting for the disk", { reason }),
+        this.#options.logger.warn("Data folder is not writable, retrying", {
+          reason,
+        }),
     });
     this.#folder = await DataFolder.open(this.#options.dataFolder, {
       replicaId: this.#options.replicaId,
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -82,7 +82,7 @@
     }),
     retries: new Counter({
       name: "mallowlift_retries_total",
-      help: "Attempts made again, by part and result code",
+      help: "Retried attempts, by part and result code",
       labelNames: ["part", "reason"],
       registers,
     }),
@@ -120,13 +120,13 @@
     }),
     waitingEntries: new Gauge({
       name: "mallowlift_waiting_entries",
-      help: "Entries of this leader that no quorum holds yet",
+      help: "Entries of this leader that are not committed yet",
       labelNames: ["group"],
       registers,
     }),
     leadershipEnds: new Counter({
       name: "mallowlift_leadership_ends_total",
-      help: "Leaderships of this replica that ended, by reason",
+      help: "Ended leaderships of this replica, by reason",
       labelNames: ["group", "reason"],
       registers,
     }),
@@ -139,25 +139,25 @@
     }),
     votes: new Counter({
       name: "mallowlift_votes_total",
-      help: "Votes that this replica was asked for, by what became of them",
+      help: "Vote requests to this replica, by outcome",
       labelNames: ["group", "outcome"],
       registers,
     }),
     proposals: new Counter({
       name: "mallowlift_proposals_total",
-      help: "Commands that this store was asked to put into its log, by kind",
+      help: "Commands proposed to this store, by kind",
       labelNames: ["kind"],
       registers,
     }),
     repeatedAsks: new Counter({
       name: "mallowlift_repeated_asks_total",
-      help: "Asks for a command that was under way already, by kind",
+      help: "Requests for a command that was already in flight, by kind",
       labelNames: ["kind"],
       registers,
     }),
     unheardAnswers: new Counter({
       name: "mallowlift_unheard_answers_total",
-      help: "Commands decided after all who asked had given up, by kind",
+      help: "Commands decided after all their callers had given up, by kind",
       labelNames: ["kind"],
       registers,
     }),
@@ -173,7 +173,7 @@
     }),
     queued: new Gauge({
       name: "mallowlift_queued",
-      help: "Calls that wait",
+      help: "Queued calls",
       registers,
     }),
     cachedTokens: new Counter({
@@ -194,12 +194,12 @@
     }),
     stoodStillSeconds: new Counter({
       name: "mallowlift_stood_still_seconds_total",
-      help: "Time in which the process did not run although it was due",
+      help: "Time for which the process was stalled",
       registers,
     }),
     strangeInstances: new Counter({
       name: "mallowlift_strange_instances_total",
-      help: "Entries of the instance list left out, by what is wrong with them",
+      help: "Invalid entries of the instance list, by reason",
       labelNames: ["reason"],
       registers,
     }),
@@ -210,13 +210,14 @@
     }),
     instanceListReads: new Counter({
       name: "mallowlift_instance_list_reads_total",
-      help: "Times that a store was asked for a stale list, by result code",
+      help:
+        "Requests to a store to refresh a stale instance list, by result code",
       labelNames: ["outcome"],
       registers,
     }),
     malformedFrames: new Counter({
       name: "mallowlift_malformed_frames_total",
-      help: "Internal connections closed for what was sent on them",
+      help: "Internal connections closed because of malformed frames",
       labelNames: ["reason"],
       registers,
     }),
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -150,7 +150,7 @@
 /** Reports why the daemon ends, and returns its exit code. */
 function reportFailure(logger: Logger, thrown: unknown): number {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
-  logger.error("Ended by a fault", { message });
+  logger.error("Daemon failed", { message });
   process.stderr.write(`mallowlift: ${message}\n`);
   return EXIT_CODES.FAILED;
 }
--- a/packages/entry/src/callers/check_caller.ts
+++ b/packages/entry/src/callers/check_caller.ts
@@ -71,5 +71,5 @@
 export function readProgramId(request: Request): Outcome<string> {
   const programId = String(request.params.program);
   if (PROGRAM_ID_PATTERN.test(programId)) return Ok(programId);
-  return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "There is no such program");
+  return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "The program does not exist");
 }
--- a/packages/entry/src/http/create_server.ts
+++ b/packages/entry/src/http/create_server.ts
@@ -55,7 +55,7 @@
     const code = toResultCode(response.output?.statusCode ?? 0);
     countRefusal(options.metrics, "entry", code);
     if (code === RESULT_CODES.INTERNAL) {
-      options.logger.error("Request failed inside", {
+      options.logger.error("Request failed with an internal error", {
         message: response.message,
       });
     }
--- a/packages/gateway/src/http/caller_server.ts
+++ b/packages/gateway/src/http/caller_server.ts
@@ -102,7 +102,7 @@
     const { waiting, port } = held;
     await held.adopt(this.#server);
     if (waiting > 0) {
-      this.#options.logger.info("Connections waited for the start", {
+      this.#options.logger.info("Connections accepted before the start", {
         connections: waiting,
       });
     }
--- a/packages/gateway/src/site/document_follower.ts
+++ b/packages/gateway/src/site/document_follower.ts
@@ -109,7 +109,10 @@
       });
     } catch (thrown) {
       const { message } = describeThrown(thrown);
-      this.#logger.error("Document not readable", { version, message });
+      this.#logger.error("Document could not be unpacked", {
+        version,
+        message,
+      });
       await sleep(DAMAGED_RETRY_MILLISECONDS, this.#stopped.signal);
     }
   }
--- a/packages/gateway/src/site/instance_list_follower.ts
+++ b/packages/gateway/src/site/instance_list_follower.ts
@@ -120,7 +120,9 @@
       return unpackUpdate(update);
     } catch (thrown) {
       const { message } = describeThrown(thrown);
-      this.#options.logger.error("Instance list not readable", { message });
+      this.#options.logger.error("Instance list could not be unpacked", {
+        message,
+      });
       return undefined;
     }
   }
--- a/packages/programs/src/call_commands.ts
+++ b/packages/programs/src/call_commands.ts
@@ -44,7 +44,7 @@
 ): Outcome<CallRecord> {
   const program = find(command.programId);
   if (program === undefined || program.spec.outfit !== command.outfit) {
-    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "There is no such program");
+    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "The program does not exist");
   }
   const bodyDigest = hashText(serializeStable(command.body));
   const known = program.calls.get(command.requestId);
--- a/packages/programs/src/program_commands.ts
+++ b/packages/programs/src/program_commands.ts
@@ -62,7 +62,7 @@
 ): Outcome<ProgramRecord> {
   const program = find(command.programId);
   if (program === undefined) {
-    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "There is no such program");
+    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "The program does not exist");
   }
   endTree(program, { reason: command.reason, now: command.now, find });
   return Ok(program);
@@ -101,7 +101,7 @@
   if (parentId === undefined) return Ok(undefined);
   const parent = find(parentId);
   if (parent === undefined || parent.spec.outfit !== command.spec.outfit) {
-    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "There is no such program");
+    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "The program does not exist");
   }
   if (parent.ended !== undefined) {
     return fail(RESULT_CODES.PROGRAM_ENDED, "The parent program has ended");
--- a/packages/replica/src/calls/call_runner.ts
+++ b/packages/replica/src/calls/call_runner.ts
@@ -120,7 +120,9 @@
     const startedAt = Date.now();
     const outcome = await this.#runAttempts(dispatch).catch((thrown) => {
       const message = thrown instanceof Error ? thrown.message : String(thrown);
-      this.#owner.logger.error("Call failed inside", { message });
+      this.#owner.logger.error("Call failed with an internal error", {
+        message,
+      });
       return fail(
         RESULT_CODES.INTERNAL,
         "Internal error while the call was run",
--- a/packages/replica/src/programs/program_owner.ts
+++ b/packages/replica/src/programs/program_owner.ts
@@ -308,7 +308,7 @@
       request.outfit,
     );
     if (program !== undefined) return Ok(program);
-    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "There is no such program");
+    return fail(RESULT_CODES.PROGRAM_NOT_FOUND, "The program does not exist");
   }
 
   async #endProgram(
--- a/packages/sidecar/src/attempts/attempt_table.ts
+++ b/packages/sidecar/src/attempts/attempt_table.ts
@@ -65,7 +65,7 @@
   /** Starts or stops rejecting new attempts. */
   setDraining(draining: boolean): void {
     if (this.#draining !== draining) {
-      this.#options.logger.info(draining ? "Draining" : "Taking work again");
+      this.#options.logger.info(draining ? "Draining" : "Draining ended");
     }
     this.#draining = draining;
   }
--- a/packages/sidecar/src/orders/order_reconciler.ts
+++ b/packages/sidecar/src/orders/order_reconciler.ts
@@ -52,7 +52,7 @@
     while (!this.#stopped.signal.aborted) {
       await this.#renewLease();
       await this.#reconcile().catch(() => {
-        this.#options.logger.debug("Engine did not take an order");
+        this.#options.logger.debug("Sending an order to the engine failed");
       });
       await sleep(interval, this.#stopped.signal);
     }
--- a/packages/sidecar/src/reports/session_cleaner.ts
+++ b/packages/sidecar/src/reports/session_cleaner.ts
@@ -53,7 +53,7 @@
       try {
         await this.releaseOrphans();
       } catch {
-        this.#options.logger.debug("Engine did not list its sessions");
+        this.#options.logger.debug("Releasing engine sessions failed");
       }
     }
   }
--- a/packages/sidecar/src/sidecar_role.ts
+++ b/packages/sidecar/src/sidecar_role.ts
@@ -169,7 +169,7 @@
       const changes = await this.#upstream.readCacheChanges();
       this.#cacheChanges.add(changes, Date.now());
     } catch {
-      this.#logger.debug("Engine did not list its cache events");
+      this.#logger.debug("Reading the cache events of the engine failed");
     }
   }
 
--- a/packages/store/src/instance_reader.ts
+++ b/packages/store/src/instance_reader.ts
@@ -157,7 +157,7 @@
     metrics.strangeInstances.inc({ reason });
     const repeats = this.#invalidEntryLogLimit.take(reason, now);
     if (repeats === undefined) return;
-    logger.warn("Instance entry left out", { reason, repeats });
+    logger.warn("Invalid instance entry skipped", { reason, repeats });
   }
 
   #reportFailure(message: string): void {
--- a/packages/store/src/proposal_report.ts
+++ b/packages/store/src/proposal_report.ts
@@ -51,7 +51,7 @@
   #write(now: number): void {
     const isNotable = this.#repeated > 0 || this.#abandoned > 0;
     if (isNotable) {
-      this.#logger.info("Commands asked again", {
+      this.#logger.info("Commands repeated or abandoned", {
         decided: this.#decided,
         repeated: this.#repeated,
         unheard: this.#abandoned,
--- a/packages/store/src/site_owner.ts
+++ b/packages/store/src/site_owner.ts
@@ -194,7 +194,7 @@
         repeats,
       });
     }
-    logger.info("Earlier turn not found", {
+    logger.info("Previous turn not found", {
       call: request.turnId,
       program: request.programId,
       previous: request.previousId,
