--- a/packages/bench/src/cost/bench_cost.ts
+++ b/packages/bench/src/cost/bench_cost.ts
@@ -6,7 +6,7 @@
 import { mkdirSync, rmSync } from "node:fs";
 import { join, resolve } from "node:path";
 import process from "node:process";
-import { readNumber } from "@mallowlift/cli";
+import { createNumberParser } from "@mallowlift/cli";
 import { hashText, sleep, type Workspace } from "@mallowlift/core";
 import { OpaqueUpstream } from "@mallowlift/mocks";
 import { Command } from "commander";
@@ -38,26 +38,26 @@
 };
 
 function readOptions(): CostOptions {
-  const daemons = readNumber({ least: 1, most: MOST_DAEMONS });
+  const daemons = createNumberParser({ minimum: 1, maximum: MOST_DAEMONS });
   return new Command("npm run bench:cost --")
     .option("--gateways <number>", "gateways of the site", daemons, 10)
     .option("--stores <number>", "stores of the site", daemons, 5)
     .option(
       "--tolerance <number>",
       "stores that may be lost at once",
-      readNumber({ least: 0, most: 7 }),
+      createNumberParser({ minimum: 0, maximum: 7 }),
       2,
     )
     .option(
       "--per-second <number>",
       "turns a second",
-      readNumber({ least: 1, most: 2_000 }),
+      createNumberParser({ minimum: 1, maximum: 2_000 }),
       100,
     )
     .option(
       "--seconds <number>",
       "length of the idle and of the busy part",
-      readNumber({ least: 1, most: 3_600 }),
+      createNumberParser({ minimum: 1, maximum: 3_600 }),
       15,
     )
     .option("--workspaces", "callers bear keys and have a quota", false)
--- a/packages/bench/src/gateway_soak/caller_records.ts
+++ b/packages/bench/src/gateway_soak/caller_records.ts
@@ -1,7 +1,7 @@
 /** Records of the callers of a gateway soak, and the checks of the promises. */
 
 import type { OpaqueRun, OpaqueUpstream } from "@mallowlift/mocks";
-import type { CallSeen } from "../gateways/gateway_caller.ts";
+import type { CallResult } from "../gateways/gateway_caller.ts";
 import { REVOCATION_MILLISECONDS } from "./soak_workspaces.ts";
 
 /** Promises that a soak checks, with the texts that it prints. */
@@ -43,7 +43,7 @@
   /** Time of sending by the local monotonic clock, ms; set with `keyVersion`. */
   readonly sentAt?: number;
   /** Answer; undefined until the call has ended. */
-  seen: CallSeen | undefined;
+  seen: CallResult | undefined;
 }
 
 /** One violation of a promise. */
--- a/packages/bench/src/gateway_soak/gateway_faults.ts
+++ b/packages/bench/src/gateway_soak/gateway_faults.ts
@@ -51,7 +51,7 @@
   "stop a store as planned": (context) => withStore(context, stopAsPlanned),
   "lose a disk": loseDisk,
   "tear the end of a log": (context) => withStore(context, appendTornRecord),
-  "cut in silence": (context) => withProxy(context, (proxy) => proxy.cut()),
+  "cut in silence": (context) => withProxy(context, (proxy) => proxy.dropAll()),
   "cut one way": (context) =>
     withProxy(context, ({ faults }) => {
       if (context.random.happens(50)) faults.dropToClient = true;
@@ -73,25 +73,25 @@
     return Promise.resolve();
   },
   "fill an upstream": (context) =>
-    withUpstream(context, (faults, isOn) => faults.isFull = isOn),
+    withUpstream(context, (faults, isOn) => faults.refusesRequests = isOn),
   "lose answers": (context) =>
-    withUpstream(context, (faults, isOn) => faults.losesAnswers = isOn),
+    withUpstream(context, (faults, isOn) => faults.dropsAnswers = isOn),
   "cut streams": (context) =>
     withUpstream(
       context,
       (faults, isOn) =>
-        faults.cutsAfter = isOn ? context.random.between(0, 2) : Infinity,
+        faults.closesAfter = isOn ? context.random.between(0, 2) : Infinity,
     ),
   "slow streams": (context) =>
     withUpstream(
       context,
-      (faults, isOn) => faults.pauseMilliseconds = isOn ? 150 : 1,
+      (faults, isOn) => faults.eventIntervalMilliseconds = isOn ? 150 : 1,
     ),
   "list an upstream as leaving": async (context) => {
     const { id } = context.random.choose(context.upstreams);
-    context.site.listUpstreams([id]);
+    context.site.writeInstanceList([id]);
     await sleepForFault(context);
-    context.site.listUpstreams();
+    context.site.writeInstanceList();
   },
 };
 
@@ -194,7 +194,7 @@
   context: FaultContext,
 ): Promise<void> {
   // A process cannot handle the stop signal before it has started.
-  await context.site.waitUntilHeard(daemon, HEALTH_ANSWER_MILLISECONDS);
+  await context.site.waitUntilReachable(daemon, HEALTH_ANSWER_MILLISECONDS);
   const code = await daemon.process.stop();
   if (code !== 0) {
     context.records.fail(
@@ -214,7 +214,7 @@
     await site.kill(store, true);
     if (context.random.happens(50)) await sleepForFault(context);
     site.restart(store);
-    const repaired = await site.waitUntilCounts(store, REPAIR_MILLISECONDS);
+    const repaired = await site.waitUntilStoreReady(store, REPAIR_MILLISECONDS);
     if (!repaired) {
       records.fail(PROMISES.SERVED_AGAIN, `${store.name} did not join again`);
     }
--- a/packages/bench/src/gateway_soak/gateway_soak.ts
+++ b/packages/bench/src/gateway_soak/gateway_soak.ts
@@ -2,7 +2,7 @@
 
 import { resolve } from "node:path";
 import process from "node:process";
-import { readNumber } from "@mallowlift/cli";
+import { createNumberParser } from "@mallowlift/cli";
 import { Command } from "commander";
 import { runGatewaySoak } from "./run_gateway_soak.ts";
 import { DEFAULT_SIZE } from "./soak_site.ts";
@@ -15,7 +15,7 @@
 
 async function main(): Promise<boolean> {
   const numberOption = (least: number, most: number) =>
-    readNumber({ least, most });
+    createNumberParser({ minimum: least, maximum: most });
   const options = new Command("npm run soak:gateways --")
     .option("--seed <number>", "first seed", numberOption(0, MAX_SEED), 1)
     .option("--seeds <number>", "how many seeds", numberOption(1, 10_000), 1)
--- a/packages/bench/src/gateway_soak/program_caller.ts
+++ b/packages/bench/src/gateway_soak/program_caller.ts
@@ -5,7 +5,7 @@
 
 import { sleep } from "@mallowlift/core";
 import { describeEvent, describeOutput } from "@mallowlift/mocks";
-import { callGateway, type CallSeen } from "../gateways/gateway_caller.ts";
+import { callGateway, type CallResult } from "../gateways/gateway_caller.ts";
 import type { GatewaySite } from "../gateways/gateway_site.ts";
 import type { Random } from "../soak/random.ts";
 import { type CallerRecords, PROMISES } from "./caller_records.ts";
@@ -90,7 +90,7 @@
     program: string,
     previous: AnsweredTurn | undefined,
   ): Promise<{
-    readonly seen: CallSeen;
+    readonly seen: CallResult;
     readonly turn: AnsweredTurn | undefined;
     readonly events: number;
   }> {
@@ -152,7 +152,7 @@
     readonly mayRepeat: boolean;
     readonly leavesEarly: boolean;
     readonly headers: Readonly<Record<string, string>>;
-  }): Promise<CallSeen> {
+  }): Promise<CallResult> {
     const { records, random, site } = this.#options;
     const { callId, mayRepeat, prompt } = call;
     const { workspace, key } = HOME_WORKSPACE;
--- a/packages/bench/src/gateways/burst_recovery_test.ts
+++ b/packages/bench/src/gateways/burst_recovery_test.ts
@@ -10,7 +10,7 @@
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
 import { type Test, test } from "tap";
-import { callGateway, type CallSeen } from "./gateway_caller.ts";
+import { callGateway, type CallResult } from "./gateway_caller.ts";
 import { startTestSite, type TestSite } from "./start_test_site.ts";
 import { findLeader, readMetrics } from "./store_metrics.ts";
 import { TEST_DOCUMENT } from "./test_document.ts";
@@ -99,7 +99,7 @@
     readonly number: number;
     readonly attempt: number;
   },
-): Promise<CallSeen> {
+): Promise<CallResult> {
   const gateway = site.gateways[turn.number % site.gateways.length];
   const name = `${turn.name}-${turn.number}-${turn.attempt}`;
   return callGateway(gateway?.callersUrl ?? "", {
--- a/packages/bench/src/gateways/failing_upstreams_test.ts
+++ b/packages/bench/src/gateways/failing_upstreams_test.ts
@@ -3,7 +3,7 @@
 import { sleep } from "@mallowlift/core";
 import { describeEvent, type OpaqueUpstream } from "@mallowlift/mocks";
 import { type Test, test } from "tap";
-import { callGateway, type CallSeen } from "./gateway_caller.ts";
+import { callGateway, type CallResult } from "./gateway_caller.ts";
 import { startTestSite } from "./start_test_site.ts";
 
 const CALLS = 20;
@@ -36,7 +36,7 @@
 }
 
 /** Makes concurrent calls, so that both upstreams are likely to get some. */
-function streamConcurrently(url: string): Promise<readonly CallSeen[]> {
+function streamConcurrently(url: string): Promise<readonly CallResult[]> {
   return Promise.all(
     Array.from({ length: CALLS }, (_, call) =>
       callGateway(url, {
@@ -87,7 +87,7 @@
   t: Test,
   { url, failing, healthy }: FailingSite,
 ): Promise<void> {
-  failing.faults.cutsAfter = 2;
+  failing.faults.closesAfter = 2;
   failing.events = 6;
   healthy.events = 6;
   while (failing.runs.length === 0) {
@@ -103,7 +103,7 @@
   t: Test,
   { url, failing, healthy }: FailingSite,
 ): Promise<void> {
-  failing.faults.pauseMilliseconds = STALL_MILLISECONDS;
+  failing.faults.eventIntervalMilliseconds = STALL_MILLISECONDS;
   while (failing.runs.length === 0) {
     for (const result of await streamConcurrently(url)) {
       t.ok(result.whole);
@@ -116,7 +116,7 @@
   t: Test,
   { url, failing, healthy }: FailingSite,
 ): Promise<void> {
-  for (const upstream of [failing, healthy]) upstream.faults.cutsAfter = 1;
+  for (const upstream of [failing, healthy]) upstream.faults.closesAfter = 1;
   const result = await callGateway(url, {
     callId: "s",
     path: "/stream/x",
--- a/packages/bench/src/gateways/gateway_answers_test.ts
+++ b/packages/bench/src/gateways/gateway_answers_test.ts
@@ -11,11 +11,11 @@
   const url = running.site.gateways[0]?.callersUrl ?? "";
   const [busy, free] = running.upstreams;
   if (busy === undefined || free === undefined) throw new Error("No upstreams");
-  busy.faults.isFull = true;
+  busy.faults.refusesRequests = true;
   const sent = await callGateway(url, { callId: "w1", path: "/write/x" });
   t.equal(sent.body, "ran w1");
-  busy.faults.isFull = false;
-  for (const upstream of running.upstreams) upstream.faults.losesAnswers = true;
+  busy.faults.refusesRequests = false;
+  for (const upstream of running.upstreams) upstream.faults.dropsAnswers = true;
   const lost = await callGateway(url, { callId: "w2", path: "/write/x" });
   t.equal(lost.status, 502);
   t.equal(countRuns(running, "w2"), 1);
@@ -72,7 +72,7 @@
   t.ok(whole.whole);
   t.equal(whole.body.length, 20 * 1_048_576);
   t.ok(whole.body.endsWith("t"));
-  for (const upstream of running.upstreams) upstream.faults.cutsAfter = 10;
+  for (const upstream of running.upstreams) upstream.faults.closesAfter = 10;
   const cut = await callGateway(url, { callId: "l-2", path: "/read/large" });
   t.equal(cut.status, 200);
   t.notOk(cut.whole);
--- a/packages/bench/src/gateways/gateway_caller.ts
+++ b/packages/bench/src/gateways/gateway_caller.ts
@@ -13,7 +13,7 @@
 }
 
 /** The result of a call, as its caller sees it. */
-export interface CallSeen {
+export interface CallResult {
   /** HTTP status; 0 if no response head arrived. */
   readonly status: number;
   readonly body: string;
@@ -26,7 +26,10 @@
 }
 
 /** Makes one request on a new connection; a failed one has the status 0. */
-export function callGateway(url: string, call: CallRequest): Promise<CallSeen> {
+export function callGateway(
+  url: string,
+  call: CallRequest,
+): Promise<CallResult> {
   return new Promise((resolve) => {
     const noAnswer = {
       status: 0,
--- a/packages/bench/src/gateways/gateway_recovery_test.ts
+++ b/packages/bench/src/gateways/gateway_recovery_test.ts
@@ -28,5 +28,5 @@
   if (spare === undefined) throw new Error("The site has no store");
   await site.kill(spare, true);
   site.restart(spare);
-  t.ok(await site.waitUntilCounts(spare, 30_000));
+  t.ok(await site.waitUntilStoreReady(spare, 30_000));
 });
--- a/packages/bench/src/gateways/gateway_site.ts
+++ b/packages/bench/src/gateways/gateway_site.ts
@@ -78,7 +78,7 @@
     for (const { id, address } of plan.upstreams) {
       await site.#addProxy(id, Number(address.split(":")[1]));
     }
-    site.listUpstreams();
+    site.writeInstanceList();
     await site.#planDaemons();
     for (const daemon of site.daemons) daemon.process.start();
     await site.putDocument(document);
@@ -92,7 +92,7 @@
   }
 
   /** Writes the instance list; the ids in `leaving` are marked as leaving. */
-  listUpstreams(leaving: readonly string[] = []): void {
+  writeInstanceList(leaving: readonly string[] = []): void {
     const instances: UpstreamInstance[] = this.#plan.upstreams.map((
       upstream,
     ) => ({
@@ -138,7 +138,7 @@
   }
 
   /** Waits until a store is ready; false if the limit passes first. */
-  async waitUntilCounts(
+  async waitUntilStoreReady(
     store: SiteDaemon,
     limitMilliseconds: number,
   ): Promise<boolean> {
@@ -151,7 +151,7 @@
   }
 
   /** Waits, up to a limit, until a daemon answers health requests, ready or not. */
-  async waitUntilHeard(
+  async waitUntilReachable(
     daemon: SiteDaemon,
     limitMilliseconds: number,
   ): Promise<void> {
--- a/packages/bench/src/gateways/gateway_stop_test.ts
+++ b/packages/bench/src/gateways/gateway_stop_test.ts
@@ -9,7 +9,7 @@
   const { site, upstreams } = running;
   for (const upstream of upstreams) {
     upstream.events = 20;
-    upstream.faults.pauseMilliseconds = 50;
+    upstream.faults.eventIntervalMilliseconds = 50;
   }
   const stream = askTurn(running, { id: "a" });
   while (upstreams.every((upstream) => upstream.runs.length === 0)) {
@@ -30,7 +30,7 @@
   // The stream lasts well beyond the time when the gateway stops accepting requests.
   for (const upstream of running.upstreams) {
     upstream.events = 100;
-    upstream.faults.pauseMilliseconds = 50;
+    upstream.faults.eventIntervalMilliseconds = 50;
   }
   let isStreaming = true;
   const longStream = askTurn(running, { id: "long" }).finally(() => {
@@ -60,7 +60,7 @@
   const { upstreams } = running;
   for (const upstream of upstreams) {
     upstream.events = 10_000;
-    upstream.faults.pauseMilliseconds = 10;
+    upstream.faults.eventIntervalMilliseconds = 10;
   }
   const disconnect = new AbortController();
   const url = running.site.gateways[0]?.callersUrl ?? "";
--- a/packages/bench/src/gateways/gateway_turns_test.ts
+++ b/packages/bench/src/gateways/gateway_turns_test.ts
@@ -43,12 +43,12 @@
 
 test("a truncated stream does not look complete, is not stored, and its sent tokens count", async (t) => {
   const running = await startTestSite(t, { upstreams: 2 });
-  for (const upstream of running.upstreams) upstream.faults.cutsAfter = 2;
+  for (const upstream of running.upstreams) upstream.faults.closesAfter = 2;
   const result = await askTurn(running, { id: "a", budget: 5 });
   t.equal(result.status, 200);
   t.notOk(result.whole);
   t.equal(countRuns(running, "a"), 1, "a stream runs at most once");
-  for (const upstream of running.upstreams) upstream.faults.cutsAfter = 99;
+  for (const upstream of running.upstreams) upstream.faults.closesAfter = 99;
   t.equal((await askTurn(running, { id: "b", previous: "a" })).status, 404);
   await sleep(200);
   t.equal((await askTurn(running, { id: "c", budget: 5 })).status, 200);
--- a/packages/bench/src/gateways/leaving_upstream_test.ts
+++ b/packages/bench/src/gateways/leaving_upstream_test.ts
@@ -35,7 +35,7 @@
   const { site } = running;
   t.notOk(await isUnused(running), "both upstreams get calls at first");
   for (const store of site.stores.slice(1)) await site.kill(store);
-  site.listUpstreams(["u-1"]);
+  site.writeInstanceList(["u-1"]);
   const deadline = Date.now() + LEARN_TIMEOUT_MILLISECONDS;
   let isAvoided = false;
   while (!isAvoided && Date.now() < deadline) {
--- a/packages/bench/src/gateways/operations_test.ts
+++ b/packages/bench/src/gateways/operations_test.ts
@@ -74,7 +74,7 @@
 
 test("a write whose upstream broke the connection", async (t) => {
   const { upstream, url, logPath } = await start(t);
-  upstream.faults.losesAnswers = true;
+  upstream.faults.dropsAnswers = true;
   const result = await callGateway(url, { callId: "w1", path: "/write/x" });
   t.equal(result.status, 502);
   const explanation = await explain(logPath, "w1");
--- a/packages/bench/src/gateways/turn_caller.ts
+++ b/packages/bench/src/gateways/turn_caller.ts
@@ -1,7 +1,7 @@
 /** Calls turns at a test site, and finds what its upstreams ran. */
 
 import { sleep } from "@mallowlift/core";
-import { callGateway, type CallSeen } from "./gateway_caller.ts";
+import { callGateway, type CallResult } from "./gateway_caller.ts";
 import type { TestSite } from "./start_test_site.ts";
 
 /** Calls a turn on the route that keeps history; its input is `input-ID;`. */
@@ -14,7 +14,7 @@
     readonly budget?: number;
     readonly program?: string;
   },
-): Promise<CallSeen> {
+): Promise<CallResult> {
   const url = site.gateways[turn.gateway ?? 0]?.callersUrl ?? "";
   return callGateway(url, {
     callId: turn.id,
@@ -37,7 +37,7 @@
 export async function askTurnUntilServed(
   running: TestSite,
   turn: Parameters<typeof askTurn>[1],
-): Promise<CallSeen> {
+): Promise<CallResult> {
   for (let attempt = 0; attempt < 100; attempt++) {
     const result = await askTurn(running, {
       ...turn,
--- a/packages/bench/src/gateways/unkept_turns_test.ts
+++ b/packages/bench/src/gateways/unkept_turns_test.ts
@@ -2,7 +2,7 @@
 
 import { sleep } from "@mallowlift/core";
 import { test } from "tap";
-import { callGateway, type CallSeen } from "./gateway_caller.ts";
+import { callGateway, type CallResult } from "./gateway_caller.ts";
 import { startTestSite } from "./start_test_site.ts";
 
 const EVENTS = 20;
@@ -13,7 +13,7 @@
   const [upstream] = upstreams;
   if (upstream === undefined) throw new Error("The site has no upstream");
   upstream.events = EVENTS;
-  const callTurn = (callId: string): Promise<CallSeen> =>
+  const callTurn = (callId: string): Promise<CallResult> =>
     callGateway(url, {
       callId,
       path: "/resumable-stream/x",
@@ -27,7 +27,7 @@
     });
 
   t.ok((await callTurn("first")).whole);
-  upstream.faults.pauseMilliseconds = 50;
+  upstream.faults.eventIntervalMilliseconds = 50;
   const second = callTurn("second");
   while (!upstream.runs.some((run) => run.callId === "second")) {
     await sleep(POLL_MILLISECONDS);
--- a/packages/bench/src/gateways/workspaces_test.ts
+++ b/packages/bench/src/gateways/workspaces_test.ts
@@ -1,6 +1,6 @@
 import { hashText, type RoutingDocument, sleep } from "@mallowlift/core";
 import { test } from "tap";
-import { callGateway, type CallSeen } from "./gateway_caller.ts";
+import { callGateway, type CallResult } from "./gateway_caller.ts";
 import { startTestSite, type TestSite } from "./start_test_site.ts";
 import { TEST_DOCUMENT } from "./test_document.ts";
 
@@ -39,7 +39,10 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-function sendCall({ site }: TestSite, call: WorkspaceCall): Promise<CallSeen> {
+function sendCall(
+  { site }: TestSite,
+  call: WorkspaceCall,
+): Promise<CallResult> {
   const url = site.gateways[call.gateway ?? 0]?.callersUrl ?? "";
   return callGateway(url, {
     callId: call.id,
--- a/packages/bench/src/integration/leaving_test.ts
+++ b/packages/bench/src/integration/leaving_test.ts
@@ -104,7 +104,7 @@
   await t.test("a partitioned entry refuses calls within seconds and never reverts to an older revision", async (t) => {
     const program = await createProgram(client, "cut-off");
     const links = site.proxies.filter((known) => known.source === "entry-1");
-    for (const { proxy } of links) proxy.cut();
+    for (const { proxy } of links) proxy.dropAll();
     const other = clients[1];
     const change = other?.applyResource("priority", "office", { level: 7 });
     await waitFor("the entry refuses", async () => {
--- a/packages/bench/src/measure/number_option_test.ts
+++ b/packages/bench/src/measure/number_option_test.ts
@@ -1,17 +1,20 @@
 import { spawnSync } from "node:child_process";
 import { join } from "node:path";
 import { test } from "tap";
-import { readNumber, readNumbers } from "@mallowlift/cli";
+import { createNumberListParser, createNumberParser } from "@mallowlift/cli";
 
 test("only numbers within the bounds are read", (t) => {
-  const read = readNumber({ least: 1, most: 10 });
+  const read = createNumberParser({ minimum: 1, maximum: 10 });
   t.equal(read("10"), 10);
   for (const wrong of ["abc", "", "0", "11", "1.5", "1e1", "-1", "NaN"]) {
     t.throws(() => read(wrong), { code: "commander.invalidArgument" }, wrong);
   }
-  t.equal(readNumber({ least: 0, most: 1, fraction: true })("0.9"), 0.9);
-  t.same(readNumbers({ least: 1, most: 3 })("1,2"), [1, 2]);
-  t.throws(() => readNumbers({ least: 1, most: 3 })("1,x"));
+  t.equal(
+    createNumberParser({ minimum: 0, maximum: 1, allowsFraction: true })("0.9"),
+    0.9,
+  );
+  t.same(createNumberListParser({ minimum: 1, maximum: 3 })("1,2"), [1, 2]);
+  t.throws(() => createNumberListParser({ minimum: 1, maximum: 3 })("1,x"));
   t.end();
 });
 
--- a/packages/bench/src/path/bench_path.ts
+++ b/packages/bench/src/path/bench_path.ts
@@ -4,7 +4,7 @@
 import { join, resolve } from "node:path";
 import process from "node:process";
 import { Command } from "commander";
-import { readNumber } from "@mallowlift/cli";
+import { createNumberParser } from "@mallowlift/cli";
 import { type ProcessUsage, readUsage } from "../measure/process_usage.ts";
 import { recordResults } from "../measure/record_results.ts";
 import { type FakesProcess, startFakes } from "../site/fakes_process.ts";
@@ -48,7 +48,7 @@
     .option(
       "--seconds <seconds>",
       "time of each load",
-      readNumber({ least: 1, most: 3_600 }),
+      createNumberParser({ minimum: 1, maximum: 3_600 }),
       12,
     )
     .parse()
--- a/packages/bench/src/policy/bench_policy.ts
+++ b/packages/bench/src/policy/bench_policy.ts
@@ -6,7 +6,7 @@
 import Wreck from "@hapi/wreck";
 import { sleep } from "@mallowlift/core";
 import { Command, Option } from "commander";
-import { readNumber, readNumbers } from "@mallowlift/cli";
+import { createNumberListParser, createNumberParser } from "@mallowlift/cli";
 import { recordResults } from "../measure/record_results.ts";
 import { startFakes } from "../site/fakes_process.ts";
 import { OUTFIT_TOKENS, seedResources } from "../site/seed_resources.ts";
@@ -85,7 +85,7 @@
     .option(
       "--load <share>",
       "share of capacity",
-      readNumber({ least: 0.01, most: 10, fraction: true }),
+      createNumberParser({ minimum: 0.01, maximum: 10, allowsFraction: true }),
       0.9,
     )
     .addOption(
@@ -96,19 +96,19 @@
     .option(
       "--seeds <numbers>",
       "seeds, separated by commas",
-      readNumbers({ least: 0, most: 2 ** 31 - 1 }),
+      createNumberListParser({ minimum: 0, maximum: 2 ** 31 - 1 }),
       [1, 2],
     )
     .option(
       "--seconds <number>",
       "time of arrivals",
-      readNumber({ least: 1, most: 3_600 }),
+      createNumberParser({ minimum: 1, maximum: 3_600 }),
       20,
     )
     .option(
       "--engines <number>",
       "engines",
-      readNumber({ least: 1, most: 200 }),
+      createNumberParser({ minimum: 1, maximum: 200 }),
       12,
     )
     .parse()
--- a/packages/bench/src/quotas/quota_ways.ts
+++ b/packages/bench/src/quotas/quota_ways.ts
@@ -4,13 +4,13 @@
 import {
   fail,
   type Outcome,
-  type PermitsTaken,
   RESULT_CODES,
+  type TakePermitsReply,
 } from "@mallowlift/core";
 import {
-  ExpectedSpare,
-  findQuota,
-  NoSpare,
+  DemandSparePolicy,
+  findWorkspaceQuota,
+  NoSparePolicy,
   PermitPool,
   type QuotaTerms,
   type SparePolicy,
@@ -108,7 +108,7 @@
 
   /** Every request is charged when it comes; those that wait go together. */
   static batched(site: SimulatedSite): LeaderPermits {
-    const createPolicy = () => new NoSpare();
+    const createPolicy = () => new NoSparePolicy();
     return new LeaderPermits(site, {
       name: "leader, in batches",
       createPolicy,
@@ -117,7 +117,7 @@
 
   /** Gateways ask ahead for what they expect to send. */
   static leased(site: SimulatedSite): LeaderPermits {
-    const createPolicy = () => new ExpectedSpare();
+    const createPolicy = () => new DemandSparePolicy();
     return new LeaderPermits(site, { name: "leased by demand", createPolicy });
   }
 
@@ -143,7 +143,7 @@
       client: { call: call as never },
       policy: this.#createPolicy(),
       clock: this.#site.clock,
-      wait: this.#site.wait,
+      sleep: this.#site.wait,
       random: () => 0,
       metrics: METRICS,
     });
@@ -154,7 +154,7 @@
   async #answer(
     gateway: number,
     request: TakePermits,
-  ): Promise<Outcome<PermitsTaken>> {
+  ): Promise<Outcome<TakePermitsReply>> {
     const site = this.#site;
     const bytes = encodeFrame(request).length;
     this.cost.messages++;
@@ -182,7 +182,7 @@
 
 function describeQuota(workspace: WorkloadWorkspace): WorkspaceQuota {
   const { name, ratePerSecond, burst } = workspace;
-  const quota = findQuota(
+  const quota = findWorkspaceQuota(
     { name, ratePerSecond, burst, keyDigests: [] },
     { version: 1, terms: TERMS },
   );
--- a/packages/bench/src/recovery/bench_recovery.ts
+++ b/packages/bench/src/recovery/bench_recovery.ts
@@ -5,7 +5,7 @@
 import process from "node:process";
 import { sleep } from "@mallowlift/core";
 import { Command } from "commander";
-import { readNumber } from "@mallowlift/cli";
+import { createNumberParser } from "@mallowlift/cli";
 import { LatencyRecorder, type LatencySummary } from "../measure/latency.ts";
 import { recordResults } from "../measure/record_results.ts";
 import { startFakes } from "../site/fakes_process.ts";
@@ -34,7 +34,7 @@
     .option(
       "--rounds <number>",
       "leaders to kill, and disks to lose",
-      readNumber({ least: 1, most: 10_000 }),
+      createNumberParser({ minimum: 1, maximum: 10_000 }),
       12,
     )
     .parse()
--- a/packages/bench/src/soak/check_invariants.ts
+++ b/packages/bench/src/soak/check_invariants.ts
@@ -3,8 +3,8 @@
 import { performance } from "node:perf_hooks";
 import {
   EMPTY_HISTORY_DIGEST,
+  estimatePromptTokens,
   extendDigest,
-  measureMessages,
   sleep,
 } from "@mallowlift/core";
 import type { FakeEngine, FakeService } from "@mallowlift/mocks";
@@ -188,7 +188,8 @@
 // deno-lint-ignore no-explicit-any -- the shape of the callers' interface
 function measureTurn(turn: any): number {
   if (turn.kind !== "model") return 0;
-  return measureMessages(turn.messages) + turn.answer.usage.completionTokens;
+  return estimatePromptTokens(turn.messages) +
+    turn.answer.usage.completionTokens;
 }
 
 function checkOrder(
--- a/packages/bench/src/soak/fault_schedule.ts
+++ b/packages/bench/src/soak/fault_schedule.ts
@@ -125,7 +125,7 @@
   const proxies = targets.site.listProxies(
     chooseDaemonName(targets, random, "replica"),
   );
-  for (const { proxy } of proxies) proxy.cut();
+  for (const { proxy } of proxies) proxy.dropAll();
   await sleep(random.between(500, 6_000));
   for (const { proxy } of proxies) proxy.heal();
 }
--- a/packages/bench/src/soak/soak.ts
+++ b/packages/bench/src/soak/soak.ts
@@ -3,7 +3,7 @@
 import { resolve } from "node:path";
 import process from "node:process";
 import { Command } from "commander";
-import { readNumber } from "@mallowlift/cli";
+import { createNumberParser } from "@mallowlift/cli";
 import { recordResults } from "../measure/record_results.ts";
 import { runSoak, type SoakResult } from "./run_soak.ts";
 
@@ -16,19 +16,19 @@
     .option(
       "--seed <number>",
       "seed of the faults and of the callers",
-      readNumber({ least: 0, most: 2 ** 31 - 1 }),
+      createNumberParser({ minimum: 0, maximum: 2 ** 31 - 1 }),
       1,
     )
     .option(
       "--seconds <number>",
       "how long to inject faults",
-      readNumber({ least: 1, most: 86_400 }),
+      createNumberParser({ minimum: 1, maximum: 86_400 }),
       60,
     )
     .option(
       "--workers <number>",
       "callers at once",
-      readNumber({ least: 1, most: 1_000 }),
+      createNumberParser({ minimum: 1, maximum: 1_000 }),
       16,
     )
     .parse()
--- a/packages/boot/src/callers_address.ts
+++ b/packages/boot/src/callers_address.ts
@@ -30,7 +30,7 @@
  *
  * @example
  * ```ts
- * findCallersListen("[daemon]\nroles = gateway\n[gateway]\ncallers_listen = 0.0.0.0:80");
+ * findCallersAddress("[daemon]\nroles = gateway\n[gateway]\ncallers_listen = 0.0.0.0:80");
  * // { host: "0.0.0.0", port: 80 }
  * ```
  */
--- a/packages/boot/src/held_port.ts
+++ b/packages/boot/src/held_port.ts
@@ -50,7 +50,7 @@
   }
 
   /** Hands the port and its waiting connections over to a server. */
-  adopt(server: Server): Promise<void> {
+  handOver(server: Server): Promise<void> {
     return new Promise((resolve, reject) => {
       server.once("error", reject);
       // The server takes over the listening handle of this listener.
--- a/packages/boot/src/held_port_test.ts
+++ b/packages/boot/src/held_port_test.ts
@@ -37,7 +37,7 @@
   );
   await waitFor(() => held.waiting === 1);
   const server = createLengthServer();
-  await held.adopt(server);
+  await held.handOver(server);
   t.match(await answer, /^HTTP\/1\.1 200/);
   t.equal(held.waiting, 0);
   const later = await fetch(`http://127.0.0.1:${held.port}/`);
@@ -53,7 +53,7 @@
   await waitFor(() => held.waiting === 1);
   caller.resetAndDestroy();
   const server = createLengthServer();
-  await held.adopt(server);
+  await held.handOver(server);
   const later = await fetch(`http://127.0.0.1:${held.port}/`);
   t.equal(await later.text(), "read 0");
   server.closeAllConnections();
@@ -80,6 +80,6 @@
     code: "EADDRINUSE",
   });
   const server = createLengthServer();
-  await held.adopt(server);
+  await held.handOver(server);
   await new Promise((resolve) => server.close(resolve));
 });
--- a/packages/cli/src/cli_app.ts
+++ b/packages/cli/src/cli_app.ts
@@ -23,7 +23,7 @@
   showRouting,
 } from "./commands/gateway_commands.ts";
 import { explainRequest } from "./commands/explain_command.ts";
-import { readNumber } from "./number_option.ts";
+import { createNumberParser } from "./number_option.ts";
 import {
   checkSettings,
   showStatus,
@@ -140,13 +140,13 @@
     .option(
       "--from <revision>",
       "print only changes after this revision",
-      readNumber({ least: 0, most: Number.MAX_SAFE_INTEGER }),
+      createNumberParser({ minimum: 0, maximum: Number.MAX_SAFE_INTEGER }),
       0,
     )
     .option(
       "--count <number>",
       "exit after this many changes",
-      readNumber({ least: 1, most: Number.MAX_SAFE_INTEGER }),
+      createNumberParser({ minimum: 1, maximum: Number.MAX_SAFE_INTEGER }),
     )
     .action((options: { from: number; count?: number }) =>
       watchChanges(createContext(), options)
--- a/packages/cli/src/commands/gateway_commands.ts
+++ b/packages/cli/src/commands/gateway_commands.ts
@@ -6,7 +6,7 @@
   fail,
   type Outcome,
   RESULT_CODES,
-  type RetireState,
+  type RetirementStatus,
   type RoutingDocument,
   type Workspace,
 } from "@mallowlift/core";
@@ -87,7 +87,7 @@
   context: CommandContext,
   name: string,
 ): Promise<void> {
-  const state = await context.client.send<RetireState>({
+  const state = await context.client.send<RetirementStatus>({
     method: "GET",
     path: formatRetirementPath(name),
   });
--- a/packages/cli/src/number_option.ts
+++ b/packages/cli/src/number_option.ts
@@ -4,10 +4,10 @@
 
 /** Inclusive bounds of a number. */
 export interface NumberBounds {
-  readonly least: number;
-  readonly most: number;
+  readonly minimum: number;
+  readonly maximum: number;
   /** True if the number may have a fraction. */
-  readonly fraction?: boolean;
+  readonly allowsFraction?: boolean;
 }
 
 /**
@@ -16,27 +16,29 @@
  *
  * @example
  * ```ts
- * new Command().option("--seed <n>", "seed", readNumber({ least: 0, most: 9 }), 1);
+ * new Command().option("--seed <n>", "seed", createNumberParser({ minimum: 0, maximum: 9 }), 1);
  * ```
  */
-export function readNumber(bounds: NumberBounds): (text: string) => number {
-  const pattern = bounds.fraction === true ? /^\d+(\.\d+)?$/ : /^\d+$/;
+export function createNumberParser(
+  bounds: NumberBounds,
+): (text: string) => number {
+  const pattern = bounds.allowsFraction === true ? /^\d+(\.\d+)?$/ : /^\d+$/;
   return (text) => {
     const value = Number(text);
-    const isValid = pattern.test(text) && value >= bounds.least &&
-      value <= bounds.most;
+    const isValid = pattern.test(text) && value >= bounds.minimum &&
+      value <= bounds.maximum;
     if (isValid) return value;
-    const kind = bounds.fraction === true ? "a number" : "a whole number";
+    const kind = bounds.allowsFraction === true ? "a number" : "a whole number";
     throw new InvalidArgumentError(
-      `Expected ${kind} from ${bounds.least} to ${bounds.most}`,
+      `Expected ${kind} from ${bounds.minimum} to ${bounds.maximum}`,
     );
   };
 }
 
 /** Returns a parser for an option that takes numbers separated by commas. */
-export function readNumbers(
+export function createNumberListParser(
   bounds: NumberBounds,
 ): (text: string) => readonly number[] {
-  const parse = readNumber(bounds);
+  const parse = createNumberParser(bounds);
   return (text) => text.split(",").map(parse);
 }
--- a/packages/configuration/src/configuration_follower.ts
+++ b/packages/configuration/src/configuration_follower.ts
@@ -13,7 +13,7 @@
   sleep,
   WakeSignal,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { ConfigurationView } from "./configuration_view.ts";
 
 const RETRY_DELAY_MILLISECONDS = 100;
@@ -24,7 +24,7 @@
   readonly daemonId: string;
   readonly bootId: string;
   /** Links to all replicas. */
-  readonly replicas: readonly Caller[];
+  readonly replicas: readonly PeerClient[];
   /** Longest time that the leader holds a poll while nothing changes. */
   readonly holdMilliseconds: number;
   readonly logger: Logger;
--- a/packages/consensus/src/founding/founding.ts
+++ b/packages/consensus/src/founding/founding.ts
@@ -10,7 +10,7 @@
   sleep,
 } from "@mallowlift/core";
 import { performance } from "node:perf_hooks";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { spreadOverDomains } from "../group/failure_domains.ts";
 import type { ReplicaSource } from "./replica_source.ts";
 
@@ -24,7 +24,7 @@
   readonly self: Member;
   /** Lists the possible founders, and grants the right to found the site. */
   readonly replicas: ReplicaSource;
-  readonly findPeer: (address: string) => Caller;
+  readonly findPeer: (address: string) => PeerClient;
   readonly logger: Logger;
   readonly signal: AbortSignal;
 }
@@ -53,7 +53,9 @@
 ): Promise<FoundingDecision> {
   const { replicas } = options;
   while (!options.signal.aborted) {
-    const { founders, complete } = replicas.listFounders(performance.now());
+    const { founders, isComplete: complete } = replicas.listFounders(
+      performance.now(),
+    );
     const answers = await queryFounders(founders, options);
     const decision = decideFromAnswers(answers, {
       self: options.self,
--- a/packages/consensus/src/founding/replica_source.ts
+++ b/packages/consensus/src/founding/replica_source.ts
@@ -6,7 +6,7 @@
 export interface KnownFounders {
   readonly founders: readonly ReplicaAddress[];
   /** True if no further founders are expected. */
-  readonly complete: boolean;
+  readonly isComplete: boolean;
 }
 
 /** Lists the other replicas, and grants the right to found the site. */
@@ -20,7 +20,7 @@
   /** Requests the right to found the site, which at most one replica ever gets. */
   claimFounding(): Promise<boolean>;
   /** Incarnations of replicas that are being retired. */
-  listRetiring(): ReadonlySet<string>;
+  listRetiringIncarnations(): ReadonlySet<string>;
 }
 
 /** A fixed list from the settings, the same at every replica. */
@@ -40,7 +40,7 @@
 
   /** Returns the whole list, which is always complete. */
   listFounders(): KnownFounders {
-    return { founders: this.#replicas, complete: true };
+    return { founders: this.#replicas, isComplete: true };
   }
 
   /** Always granted, since only the replica with the smallest id ever founds the site. */
@@ -49,7 +49,7 @@
   }
 
   /** Always empty: retirement needs other replicas to take over, and a fixed list has none. */
-  listRetiring(): ReadonlySet<string> {
+  listRetiringIncarnations(): ReadonlySet<string> {
     return new Set();
   }
 }
--- a/packages/consensus/src/group/applier.ts
+++ b/packages/consensus/src/group/applier.ts
@@ -19,8 +19,12 @@
 import type { Snapshot } from "../storage/snapshot_store.ts";
 import type { EntryStore } from "./entry_store.ts";
 import type { GroupOptions } from "./group_options.ts";
-import { findCost, LARGE_COST, type WaitingEntries } from "./proposal_gate.ts";
-import { noteSnapshot, SNAPSHOT_KINDS } from "./snapshot_times.ts";
+import {
+  findCost,
+  LARGE_ENTRY_COST,
+  type PendingEntries,
+} from "./proposal_gate.ts";
+import { recordSnapshotTime, SNAPSHOT_KINDS } from "./snapshot_times.ts";
 
 /** Smallest fraction of `snapshotEntries` after which a snapshot is taken. */
 const MIN_SNAPSHOT_FRACTION = 0.5;
@@ -63,7 +67,7 @@
   #appliedIndex: number;
   /** Total cost of the pending proposals. */
   #pendingCost = 0;
-  /** Costs of pending proposals above LARGE_COST, by index; usually empty. */
+  /** Costs of pending proposals above LARGE_ENTRY_COST, by index; usually empty. */
   readonly #largeCostByIndex = new Map<number, number>();
   #isApplying = false;
   #isSnapshotting = false;
@@ -73,7 +77,7 @@
    * Returns the highest index that all members in contact have, except cold
    * spares; Infinity while this replica does not lead. Set by the group.
    */
-  getWantedIndex: () => number = () => Infinity;
+  getLowestMatchIndex: () => number = () => Infinity;
 
   constructor(options: GroupOptions, store: EntryStore) {
     const { snapshot } = options.folder.getStored(options.group);
@@ -99,7 +103,7 @@
    * Pending proposals. The map holds them in the order of proposal, so the
    * first is the oldest.
    */
-  get waiting(): WaitingEntries {
+  get waiting(): PendingEntries {
     const [oldest] = this.#proposals.values();
     return {
       cost: this.#pendingCost,
@@ -112,7 +116,7 @@
    * Registers a proposal for an entry that is about to be appended. Resolves
    * when the entry has been applied, or fails with LEADERSHIP_LOST.
    */
-  waitFor(entry: LogEntry, now: number): Promise<Outcome<Applied>> {
+  addProposal(entry: LogEntry, now: number): Promise<Outcome<Applied>> {
     const proposal: Proposal = {
       term: entry.term,
       at: now,
@@ -120,7 +124,7 @@
       done: createDeferred(),
     };
     this.#pendingCost += proposal.cost;
-    if (proposal.cost > LARGE_COST) {
+    if (proposal.cost > LARGE_ENTRY_COST) {
       this.#largeCostByIndex.set(entry.index, proposal.cost);
     }
     this.#proposals.set(entry.index, proposal);
@@ -131,7 +135,7 @@
    * Fails all pending proposals; their entries may or may not be committed
    * later.
    */
-  loseProposals(): void {
+  failPendingProposals(): void {
     for (const proposal of this.#proposals.values()) {
       proposal.done.resolve(failWithLeadershipLost());
     }
@@ -185,7 +189,7 @@
     this.#appliedIndex = lastIndex;
     this.#snapshotIndex = lastIndex;
     const milliseconds = performance.now() - startedAt;
-    noteSnapshot(this.#options, {
+    recordSnapshotTime(this.#options, {
       kind: SNAPSHOT_KINDS.INSTALLED,
       milliseconds,
     });
@@ -227,7 +231,7 @@
     const retentionIndex = Math.floor(this.#snapshotIndex - maxRetained);
     const replicatedIndex = Math.min(
       this.#snapshotIndex,
-      this.getWantedIndex(),
+      this.getLowestMatchIndex(),
     );
     this.#store.log.dropUntil(Math.max(retentionIndex, replicatedIndex));
   }
@@ -253,7 +257,10 @@
     this.#dropCoveredEntries();
     this.#isSnapshotting = false;
     const milliseconds = performance.now() - startedAt;
-    noteSnapshot(this.#options, { kind: SNAPSHOT_KINDS.WRITTEN, milliseconds });
+    recordSnapshotTime(this.#options, {
+      kind: SNAPSHOT_KINDS.WRITTEN,
+      milliseconds,
+    });
     this.#options.logger.info("Snapshot taken", {
       group,
       lastIndex,
--- a/packages/consensus/src/group/applier_test.ts
+++ b/packages/consensus/src/group/applier_test.ts
@@ -75,7 +75,7 @@
   for (let own = 1; own <= ENTRY_COUNT; own++) {
     const entry = createEntry(ENTRY_COUNT + own);
     log.append(entry);
-    outcomes.push(applier.waitFor(entry, 0));
+    outcomes.push(applier.addProposal(entry, 0));
   }
   applier.commitUntil(ENTRY_COUNT);
   await runEventLoop();
--- a/packages/consensus/src/group/elections.ts
+++ b/packages/consensus/src/group/elections.ts
@@ -30,15 +30,15 @@
    * Time of the last contact with a leader, by the monotonic clock, ms.
    * Granting a vote and stepping down count as contact.
    */
-  getHeardAt(): number;
+  getLeaderContactAt(): number;
   /** Moves to a higher term; steps down if it leads a lower one. */
   adoptTerm(term: number): void;
   /** Votes for itself in its term; resolves when the vote is on disk. */
   voteForSelf(): Promise<void>;
   /** Becomes the leader of its term. */
-  lead(): void;
+  becomeLeader(): void;
   /** Checks the leadership; called once per election timeout while it leads. */
-  lookAfterLeadership(now: number): void;
+  maintainLeadership(now: number): void;
 }
 
 /** Dependencies of {@linkcode Elections}. */
@@ -77,7 +77,7 @@
     let pause = MAX_FIRST_PAUSE_MILLISECONDS * Math.random();
     while (!stopped.aborted) {
       const timeout = minimumTimeout * (1 + Math.random());
-      const silence = performance.now() - candidate.getHeardAt();
+      const silence = performance.now() - candidate.getLeaderContactAt();
       const remaining = candidate.isLeader()
         ? minimumTimeout
         : timeout - silence;
@@ -88,11 +88,11 @@
       if (stopped.aborted) return;
       const now = performance.now();
       if (candidate.isLeader()) {
-        candidate.lookAfterLeadership(now);
+        candidate.maintainLeadership(now);
         continue;
       }
-      if (now - candidate.getHeardAt() < timeout) continue;
-      await this.elect(false);
+      if (now - candidate.getLeaderContactAt() < timeout) continue;
+      await this.standForElection(false);
     }
   }
 
@@ -103,7 +103,7 @@
    * then don't wait until the leader's lease has run out, and there is no
    * pre-vote
    */
-  async elect(handover: boolean): Promise<void> {
+  async standForElection(handover: boolean): Promise<void> {
     const { options, store, candidate, stopped } = this.#parts;
     if (this.#isElecting || candidate.isLeader()) return;
     if (!store.membership.isVoter(options.identity)) return;
@@ -115,7 +115,7 @@
       const term = candidate.getTerm();
       await candidate.voteForSelf();
       if (!await this.#wins({ preVote: false, handover })) return;
-      if (candidate.getTerm() === term) candidate.lead();
+      if (candidate.getTerm() === term) candidate.becomeLeader();
     } finally {
       this.#isElecting = false;
     }
@@ -153,7 +153,7 @@
       voters: store.membership.voters.length,
       silentMilliseconds: candidate.isLeader()
         ? 0
-        : now - candidate.getHeardAt(),
+        : now - candidate.getLeaderContactAt(),
     }, now);
   }
 }
--- a/packages/consensus/src/group/entry_store.ts
+++ b/packages/consensus/src/group/entry_store.ts
@@ -15,7 +15,7 @@
   readonly log: GroupLog;
   readonly membership: Membership;
   /** Called after a membership entry has been appended. */
-  onMembership: (now: number) => void = () => undefined;
+  onMembershipChange: (now: number) => void = () => undefined;
   readonly #group: number;
   readonly #folder: DataFolder;
   #syncedIndex: number;
@@ -105,7 +105,7 @@
   #trackMembership(entry: LogEntry): void {
     if (entry.kind !== ENTRY_KINDS.MEMBERSHIP) return;
     this.membership.append(entry.index, decodeMembers(entry.payload));
-    this.onMembership(performance.now());
+    this.onMembershipChange(performance.now());
   }
 
   #persist(entries: readonly LogEntry[]): Promise<void> {
--- a/packages/consensus/src/group/group_options.ts
+++ b/packages/consensus/src/group/group_options.ts
@@ -6,7 +6,7 @@
   Metrics,
   ReplicaIdentity,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import type { DataFolder } from "../storage/data_folder.ts";
 import type { LeadershipListener, StateMachine } from "./state_machine.ts";
 
@@ -23,7 +23,7 @@
 }
 
 /** Returns the connection to another member. */
-export type FindPeer = (member: Member) => Caller;
+export type FindPeer = (member: Member) => PeerClient;
 
 /** Options of a replicated group. */
 export interface GroupOptions {
--- a/packages/consensus/src/group/group_report.ts
+++ b/packages/consensus/src/group/group_report.ts
@@ -3,7 +3,7 @@
  * metrics.
  */
 
-import { type Logger, type Metrics, RepeatLimit } from "@mallowlift/core";
+import { type Logger, LogRateLimiter, type Metrics } from "@mallowlift/core";
 import type { VoteOutcome } from "./judge_vote.ts";
 
 /**
@@ -36,7 +36,7 @@
 }
 
 /** Pending entries of a leader and the state of its members. */
-export interface WaitingView {
+export interface PendingEntriesView {
   readonly term: number;
   /** Entries in the log that are not committed yet. */
   readonly waiting: number;
@@ -60,8 +60,10 @@
   readonly #group: number;
   readonly #logger: Logger;
   readonly #metrics: Metrics;
-  readonly #voteLimit = new RepeatLimit(VOTE_LOG_INTERVAL_MILLISECONDS);
-  readonly #waitingLimit = new RepeatLimit(WAITING_LOG_INTERVAL_MILLISECONDS);
+  readonly #voteLimit = new LogRateLimiter(VOTE_LOG_INTERVAL_MILLISECONDS);
+  readonly #waitingLimit = new LogRateLimiter(
+    WAITING_LOG_INTERVAL_MILLISECONDS,
+  );
 
   constructor(
     group: number,
@@ -73,7 +75,7 @@
   }
 
   /** Records how this replica decided on a vote request. */
-  noteVote(
+  recordVote(
     outcome: VoteOutcome,
     vote: {
       readonly term: number;
@@ -128,13 +130,13 @@
    * Records the end of a leadership, with the pending entries and the members
    * at that time.
    */
-  noteEnd(
+  recordLeadershipEnd(
     reason: LeadershipEnd,
-    view: WaitingView,
+    view: PendingEntriesView,
     ledMilliseconds: number,
   ): void {
     this.#metrics.leadershipEnds.inc({ group: this.#group, reason });
-    this.#metrics.waitingEntries.set({ group: this.#group }, 0);
+    this.#metrics.pendingEntries.set({ group: this.#group }, 0);
     this.#logger.warn("Leadership ended", {
       group: this.#group,
       term: view.term,
@@ -149,11 +151,11 @@
    * Records the pending entries of a leader; logs a line only if there are
    * many.
    */
-  noteWaiting(
-    view: WaitingView,
+  recordPendingEntries(
+    view: PendingEntriesView,
     now: number,
   ): void {
-    this.#metrics.waitingEntries.set({ group: this.#group }, view.waiting);
+    this.#metrics.pendingEntries.set({ group: this.#group }, view.waiting);
     if (view.waiting < MIN_LOGGED_ENTRIES) return;
     const repeats = this.#waitingLimit.take("waiting", now);
     if (repeats === undefined) return;
--- a/packages/consensus/src/group/incoming_snapshot.ts
+++ b/packages/consensus/src/group/incoming_snapshot.ts
@@ -23,7 +23,7 @@
    *
    * @returns false if the chunk does not continue the received ones
    */
-  take(request: SnapshotRequest): boolean {
+  addChunk(request: SnapshotRequest): boolean {
     const { offset, part, size, term, lastIndex } = request;
     if (offset === 0) {
       this.#state = Buffer.alloc(size);
--- a/packages/consensus/src/group/incoming_snapshot_test.ts
+++ b/packages/consensus/src/group/incoming_snapshot_test.ts
@@ -26,10 +26,13 @@
 
 test("consecutive chunks make up the snapshot", (t) => {
   const incoming = new IncomingSnapshot();
-  t.ok(incoming.take(createChunk("abc", 0)));
-  t.notOk(incoming.take(createChunk("abc", 4)), "a chunk before it is missing");
+  t.ok(incoming.addChunk(createChunk("abc", 0)));
+  t.notOk(
+    incoming.addChunk(createChunk("abc", 4)),
+    "a chunk before it is missing",
+  );
   const last = createChunk("def", 3);
-  t.ok(incoming.take(last));
+  t.ok(incoming.addChunk(last));
   t.equal(Buffer.from(incoming.finish(last).state).toString(), "abcdef");
   t.end();
 });
@@ -38,12 +41,12 @@
 // may match the offset of the current snapshot.
 test("a delayed chunk of another snapshot is refused", (t) => {
   const incoming = new IncomingSnapshot();
-  t.ok(incoming.take(createChunk("abc", 0)));
-  t.notOk(incoming.take(createChunk("xyz", 3, { lastIndex: 4 })));
-  t.notOk(incoming.take(createChunk("xyz", 3, { term: 2 })));
-  t.notOk(incoming.take(createChunk("xyz", 3, { size: 7 })));
+  t.ok(incoming.addChunk(createChunk("abc", 0)));
+  t.notOk(incoming.addChunk(createChunk("xyz", 3, { lastIndex: 4 })));
+  t.notOk(incoming.addChunk(createChunk("xyz", 3, { term: 2 })));
+  t.notOk(incoming.addChunk(createChunk("xyz", 3, { size: 7 })));
   const last = createChunk("def", 3);
-  t.ok(incoming.take(last));
+  t.ok(incoming.addChunk(last));
   t.equal(Buffer.from(incoming.finish(last).state).toString(), "abcdef");
   t.end();
 });
--- a/packages/consensus/src/group/joining.ts
+++ b/packages/consensus/src/group/joining.ts
@@ -26,7 +26,7 @@
  */
 const JOIN_TIMEOUT_MILLISECONDS = 2_000;
 
-/** Dependencies of {@linkcode keepJoined}. */
+/** Dependencies of {@linkcode maintainMembership}. */
 export interface JoinParts {
   readonly self: Member;
   readonly replicas: ReplicaSource;
@@ -39,7 +39,7 @@
  * Sends join requests whenever no leader has this replica as a member, until
  * the signal aborts.
  */
-export async function keepJoined(
+export async function maintainMembership(
   group: ReplicatedGroup,
   parts: JoinParts,
 ): Promise<void> {
@@ -48,7 +48,7 @@
     await sleep(MEMBERSHIP_CHECK_MILLISECONDS, signal);
     const isMember = group.membership.find(self) !== undefined;
     if (isJoined(group, { isMember, timing: parts.timing })) continue;
-    if (replicas.listRetiring().has(self.incarnation)) continue;
+    if (replicas.listRetiringIncarnations().has(self.incarnation)) continue;
     await requestToJoin(group, { ...parts, isMember });
   }
 }
@@ -59,7 +59,7 @@
   facts: { readonly isMember: boolean; readonly timing: GroupTiming },
 ): boolean {
   const silenceLimit = 4 * facts.timing.electionMilliseconds;
-  if (group.findSilence(performance.now()) >= silenceLimit) return false;
+  if (group.findLeaderSilence(performance.now()) >= silenceLimit) return false;
   // A cold spare is not sent the membership entry that added it, so it can't
   // find itself in its own log. Each further join request would append another
   // such entry.
@@ -87,7 +87,7 @@
  * Adds a replica to the members if this replica leads; fails with NOT_LEADER
  * otherwise.
  */
-export async function takeIn(
+export async function admitMember(
   group: ReplicatedGroup,
   request: JoinRequest,
 ): Promise<Outcome<Record<string, never>>> {
--- a/packages/consensus/src/group/judge_vote.ts
+++ b/packages/consensus/src/group/judge_vote.ts
@@ -20,17 +20,17 @@
 export type VoteOutcome = typeof VOTE_OUTCOMES[keyof typeof VOTE_OUTCOMES];
 
 /** State of a voter when a vote request arrives. */
-export interface Voter {
+export interface VoterState {
   readonly incarnation: string;
   readonly term: number;
   /** Replica id that it voted for in this term; empty if it has not voted. */
   readonly votedFor: string;
-  readonly isLeading: boolean;
+  readonly isLeader: boolean;
   /**
    * Time of the last contact with a leader, by the monotonic clock, ms.
    * Granting a vote and stepping down count as contact.
    */
-  readonly heardAt: number;
+  readonly leaderContactAt: number;
   /**
    * Time after contact with a leader in which no other candidate gets a vote,
    * ms.
@@ -46,20 +46,20 @@
  *
  * @example
  * ```ts
- * const outcome = judgeVote(request, voter, performance.now());
+ * const outcome = decideVote(request, voter, performance.now());
  * const granted = outcome === VOTE_OUTCOMES.GRANTED;
  * ```
  */
-export function judgeVote(
+export function decideVote(
   request: VoteRequest,
-  voter: Voter,
+  voter: VoterState,
   now: number,
 ): VoteOutcome {
   if (request.toIncarnation !== voter.incarnation) {
     return VOTE_OUTCOMES.WRONG_INCARNATION;
   }
-  const isLeaderActive = voter.isLeading ||
-    now - voter.heardAt < voter.leaseMilliseconds;
+  const isLeaderActive = voter.isLeader ||
+    now - voter.leaderContactAt < voter.leaseMilliseconds;
   if (isLeaderActive && !request.handover) return VOTE_OUTCOMES.LEADER_ACTIVE;
   if (request.term < voter.term) return VOTE_OUTCOMES.LOWER_TERM;
   if (!isLogUpToDate(request, voter)) return VOTE_OUTCOMES.LOG_BEHIND;
@@ -71,7 +71,7 @@
   return isVoteAvailable ? VOTE_OUTCOMES.GRANTED : VOTE_OUTCOMES.ALREADY_VOTED;
 }
 
-function isLogUpToDate(request: VoteRequest, voter: Voter): boolean {
+function isLogUpToDate(request: VoteRequest, voter: VoterState): boolean {
   if (request.lastTerm !== voter.lastTerm) {
     return request.lastTerm > voter.lastTerm;
   }
--- a/packages/consensus/src/group/keep_members.ts
+++ b/packages/consensus/src/group/keep_members.ts
@@ -22,7 +22,7 @@
 /** Time between two checks of the membership, ms. */
 export const MEMBERSHIP_CHECK_MILLISECONDS = 300;
 
-/** Dependencies of {@linkcode keepMembers}. */
+/** Dependencies of {@linkcode maintainMembers}. */
 export interface MaintainMembersParts {
   readonly identity: ReplicaIdentity;
   readonly replicas: ReplicaSource;
@@ -32,7 +32,7 @@
 }
 
 /** Plans and carries out membership changes until the signal aborts. */
-export async function keepMembers(
+export async function maintainMembers(
   group: ReplicatedGroup,
   parts: MaintainMembersParts,
 ): Promise<void> {
@@ -40,7 +40,7 @@
   while (!signal.aborted) {
     await sleep(MEMBERSHIP_CHECK_MILLISECONDS, signal);
     if (!group.isLeading) continue;
-    const retiring = replicas.listRetiring();
+    const retiring = replicas.listRetiringIncarnations();
     const health = describeHealth(group, parts.identity);
     const newMembers = planMembershipChange(health, {
       voterCount: replicas.voterCount,
--- a/packages/consensus/src/group/leadership.ts
+++ b/packages/consensus/src/group/leadership.ts
@@ -7,7 +7,7 @@
   type MemberLag,
   type Outcome,
   RESULT_CODES,
-  TurnQueue,
+  SerialQueue,
   WakeSignal,
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
@@ -66,7 +66,7 @@
       acked: this.#acked,
       // Snapshots that are sent at the same time share the bandwidth: each takes
       // several times as long and delays the entries for the other members.
-      snapshotQueue: new TurnQueue(),
+      snapshotQueue: new SerialQueue(),
       getCommitIndex: () => context.getCommitIndex(),
       onHigherTerm: (term) => context.onHigherTerm(term),
     };
--- a/packages/consensus/src/group/membership.ts
+++ b/packages/consensus/src/group/membership.ts
@@ -30,7 +30,7 @@
   }
 
   /** Index of the newest membership entry. */
-  get changedAt(): number {
+  get changedIndex(): number {
     return this.#history.at(-1)?.index ?? 0;
   }
 
--- a/packages/consensus/src/group/peer_progress.ts
+++ b/packages/consensus/src/group/peer_progress.ts
@@ -1,10 +1,6 @@
 /** Replication state that a leader keeps for one other member. */
 
-import {
-  type Member,
-  MEMBER_ROLES,
-  MOST_MESSAGE_BYTES,
-} from "@mallowlift/core";
+import { MAX_MESSAGE_BYTES, type Member, MEMBER_ROLES } from "@mallowlift/core";
 
 /** Replication progress of one member, kept by the leader. */
 export class PeerProgress {
@@ -24,7 +20,7 @@
   /** True while entries are in flight, or a snapshot is queued or in flight. */
   isBusy = false;
   /** Limit on the bytes of entries in the next message. */
-  messageBytes = MOST_MESSAGE_BYTES;
+  messageBytes = MAX_MESSAGE_BYTES;
   /** When the latest reply arrived; initially the creation time. */
   lastReplyAt: number;
   /** True once the member is no longer in the group. */
--- a/packages/consensus/src/group/peer_replication.ts
+++ b/packages/consensus/src/group/peer_replication.ts
@@ -4,20 +4,20 @@
 import {
   type AppendReply,
   type AppendRequest,
-  findMessageBytes,
+  computeMessageBytes,
   type LogEntry,
   type Outcome,
+  type SerialQueue,
   sleep,
-  type TurnQueue,
   type WakeSignal,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import type { GroupLog } from "./group_log.ts";
 import type { GroupOptions } from "./group_options.ts";
 import { isCold, isVoter, type PeerProgress } from "./peer_progress.ts";
 import type { StoredSnapshot } from "../storage/snapshot_store.ts";
 import { sendSnapshot } from "./send_snapshot.ts";
-import { noteSnapshot, SNAPSHOT_KINDS } from "./snapshot_times.ts";
+import { recordSnapshotTime, SNAPSHOT_KINDS } from "./snapshot_times.ts";
 import { findSpareBatchDelay } from "./spare_batching.ts";
 
 const RETRY_MILLISECONDS = 20;
@@ -61,7 +61,7 @@
   /** Woken when a member has replied. */
   readonly acked: WakeSignal;
   /** Sends snapshots to one member at a time. */
-  readonly snapshotQueue: TurnQueue;
+  readonly snapshotQueue: SerialQueue;
   readonly getCommitIndex: () => number;
   /** Called when a peer reports a later term. */
   readonly onHigherTerm: (term: number) => void;
@@ -76,7 +76,7 @@
 /** Replication task of one member. */
 export class PeerReplication {
   readonly #peer: PeerProgress;
-  readonly #caller: Caller;
+  readonly #caller: PeerClient;
   readonly #context: ReplicationContext;
 
   constructor(peer: PeerProgress, context: ReplicationContext) {
@@ -202,7 +202,7 @@
       timeouts: APPEND_TIMEOUTS,
     });
     peer.isBusy = false;
-    peer.messageBytes = findMessageBytes(peer.messageBytes, {
+    peer.messageBytes = computeMessageBytes(peer.messageBytes, {
       sent: sumBytes(entries),
       milliseconds: performance.now() - sentAt,
     });
@@ -308,17 +308,17 @@
     if (reply.val.term > leadership.term) return onHigherTerm(reply.val.term);
     peer.lastReplyAt = performance.now();
     this.#reportSnapshotSent(snapshot, performance.now() - startedAt);
-    const { lastIndex } = snapshot.point;
+    const { lastIndex } = snapshot.metadata;
     peer.matchIndex = Math.max(peer.matchIndex, lastIndex);
     peer.nextIndex = peer.matchIndex + 1;
   }
 
   #reportSnapshotSent(
-    { point, size }: StoredSnapshot,
+    { metadata: point, size }: StoredSnapshot,
     milliseconds: number,
   ): void {
     const { options } = this.#context;
-    noteSnapshot(options, { kind: SNAPSHOT_KINDS.SENT, milliseconds });
+    recordSnapshotTime(options, { kind: SNAPSHOT_KINDS.SENT, milliseconds });
     options.logger.info("Snapshot sent", {
       group: options.group,
       to: this.#peer.member.replicaId,
--- a/packages/consensus/src/group/proposal_gate.ts
+++ b/packages/consensus/src/group/proposal_gate.ts
@@ -45,7 +45,7 @@
 /** Queued cost below which every command is admitted, bytes: half a message of entries. */
 const ALWAYS_ADMITTED_BYTES = 65_536;
 /** Cost above which an entry counts as large: half of the cost that is always admitted. */
-export const LARGE_COST = ALWAYS_ADMITTED_BYTES / 2;
+export const LARGE_ENTRY_COST = ALWAYS_ADMITTED_BYTES / 2;
 /** Window over which the commit rate is measured, ms: several round trips. */
 const RATE_WINDOW_MILLISECONDS = 500;
 /**
@@ -68,10 +68,10 @@
 const RETRY_AFTER_MILLISECONDS = { min: 200, max: 2_000 };
 
 /** Uncommitted entries at the time of a decision. */
-export interface WaitingEntries {
+export interface PendingEntries {
   /** Sum of the costs of the uncommitted entries, see {@linkcode findCost}. */
   readonly cost: number;
-  /** Cost of the largest of them if it is above {@linkcode LARGE_COST}, else 0. */
+  /** Cost of the largest of them if it is above {@linkcode LARGE_ENTRY_COST}, else 0. */
   readonly largestCost: number;
   /** When the oldest of them was proposed; Infinity if there is none. */
   readonly oldestAt: number;
@@ -130,7 +130,7 @@
    */
   checkAdmission(
     urgency: Urgency,
-    waiting: WaitingEntries,
+    waiting: PendingEntries,
     now: number,
   ): number | undefined {
     if (this.findLoadRatio(urgency, waiting, now) <= 1) return undefined;
@@ -143,7 +143,7 @@
    */
   findLoadRatio(
     urgency: Urgency,
-    waiting: WaitingEntries,
+    waiting: PendingEntries,
     now: number,
   ): number {
     if (findQueuedCost(waiting) < ALWAYS_ADMITTED_BYTES) return 0;
@@ -151,14 +151,14 @@
   }
 
   /** Returns the delay after which a rejected caller should retry, ms. */
-  findRetryAfter(waiting: WaitingEntries, now: number): number {
+  findRetryAfter(waiting: PendingEntries, now: number): number {
     const { min, max } = RETRY_AFTER_MILLISECONDS;
     const expected = this.estimateWait(waiting, now);
     return Math.round(Math.min(max, Math.max(min, expected)));
   }
 
   /** Estimates the time until an entry that is appended now commits, ms. */
-  estimateWait(waiting: WaitingEntries, now: number): number {
+  estimateWait(waiting: PendingEntries, now: number): number {
     const age = Math.max(0, now - waiting.oldestAt);
     const queueDelay = findQueuedCost(waiting) * 1_000 /
       this.#findCommitRate(now);
@@ -200,7 +200,7 @@
  * turn with a long input) looked like 9 s of work, and every new program was
  * rejected while it was in flight. Its delay shows in the age of the oldest entry.
  */
-function findQueuedCost({ cost, largestCost }: WaitingEntries): number {
+function findQueuedCost({ cost, largestCost }: PendingEntries): number {
   return cost - largestCost;
 }
 
--- a/packages/consensus/src/group/replicated_group.ts
+++ b/packages/consensus/src/group/replicated_group.ts
@@ -29,11 +29,11 @@
   GroupReport,
   LEADERSHIP_ENDS,
   type LeadershipEnd,
-  type WaitingView,
+  type PendingEntriesView,
 } from "./group_report.ts";
 import { handOverLeadership } from "./hand_over.ts";
 import { IncomingSnapshot } from "./incoming_snapshot.ts";
-import { judgeVote, VOTE_OUTCOMES, type Voter } from "./judge_vote.ts";
+import { decideVote, VOTE_OUTCOMES, type VoterState } from "./judge_vote.ts";
 import { Leadership } from "./leadership.ts";
 import {
   AdmissionController,
@@ -51,7 +51,7 @@
    */
   readonly part: number;
   /** Delay after which a rejected caller should retry. */
-  readonly comeBackMilliseconds: number;
+  readonly retryAfterMilliseconds: number;
 }
 
 /**
@@ -86,9 +86,10 @@
     const stored = options.folder.getStored(options.group);
     this.#term = new ReplicaTerm(stored, options.folder);
     this.#store = new EntryStore(stored, options.folder);
-    this.#store.onMembership = (now) => this.#leadership?.updatePeers(now);
+    this.#store.onMembershipChange = (now) =>
+      this.#leadership?.updatePeers(now);
     this.#applier = new Applier(options, this.#store);
-    this.#applier.getWantedIndex = () =>
+    this.#applier.getLowestMatchIndex = () =>
       this.#leadership?.findLowestMatchIndex(performance.now()) ?? Infinity;
     this.#elections = new Elections({
       options,
@@ -141,7 +142,7 @@
   }
 
   /** Time since the last contact with a leader, ms; 0 while leading. */
-  findSilence(now: number): number {
+  findLeaderSilence(now: number): number {
     return this.#leadership !== undefined ? 0 : now - this.#leaderContactAt;
   }
 
@@ -160,7 +161,7 @@
    */
   isHealthy(now: number): boolean {
     const limit = 4 * this.#options.timing.electionMilliseconds;
-    if (this.findSilence(now) >= limit) return false;
+    if (this.findLeaderSilence(now) >= limit) return false;
     if (this.#isCold) return true;
     const { membership } = this.#store;
     const member = membership.find(this.#options.identity);
@@ -197,11 +198,11 @@
   }
 
   /** Returns how close the leader is to rejecting a command of this urgency, and the retry delay. */
-  findPressure(urgency: Urgency, now: number): ProposalLoad {
+  findProposalLoad(urgency: Urgency, now: number): ProposalLoad {
     const { waiting } = this.#applier;
     return {
       part: this.#admission.findLoadRatio(urgency, waiting, now),
-      comeBackMilliseconds: this.#admission.findRetryAfter(waiting, now),
+      retryAfterMilliseconds: this.#admission.findRetryAfter(waiting, now),
     };
   }
 
@@ -235,7 +236,7 @@
    */
   async changeMembers(members: readonly Member[]): Promise<Outcome<Applied>> {
     if (!this.#isEstablished) return this.#refuse();
-    if (this.#store.membership.changedAt > this.#applier.commitIndex) {
+    if (this.#store.membership.changedIndex > this.#applier.commitIndex) {
       return fail(
         RESULT_CODES.VERSION_CONFLICT,
         "A membership change is under way",
@@ -261,9 +262,9 @@
   async handleVote(request: VoteRequest): Promise<Outcome<VoteReply>> {
     const now = performance.now();
     const { term, preVote, from } = request;
-    const outcome = judgeVote(request, this.#describeVoter(), now);
+    const outcome = decideVote(request, this.#describeVoter(), now);
     const vote = { term, preVote, candidate: from.replicaId };
-    this.#report.noteVote(outcome, vote, now);
+    this.#report.recordVote(outcome, vote, now);
     const granted = outcome === VOTE_OUTCOMES.GRANTED;
     if (!granted || preVote) return Ok({ term: this.term, granted });
     this.#adoptTerm(term);
@@ -327,7 +328,7 @@
       return Ok({ term: this.term, accepted: false });
     }
     this.#followLeader(request.term, request.from.replicaId);
-    if (!this.#incoming.take(request)) {
+    if (!this.#incoming.addChunk(request)) {
       return Ok({ term: this.term, accepted: false });
     }
     if (request.last) {
@@ -345,7 +346,7 @@
       isAddressee && request.term === this.term &&
       this.#store.log.lastIndex >= request.lastIndex
     ) {
-      await this.#elections.elect(true);
+      await this.#elections.standForElection(true);
     }
     return Ok({});
   }
@@ -384,13 +385,13 @@
     return incarnation === this.#options.identity.incarnation;
   }
 
-  #describeVoter(): Voter {
+  #describeVoter(): VoterState {
     return {
       incarnation: this.#options.identity.incarnation,
       term: this.term,
       votedFor: this.#term.votedFor,
-      isLeading: this.#leadership !== undefined,
-      heardAt: this.#leaderContactAt,
+      isLeader: this.#leadership !== undefined,
+      leaderContactAt: this.#leaderContactAt,
       leaseMilliseconds: this.#options.timing.electionMilliseconds,
       lastIndex: this.#store.log.lastIndex,
       lastTerm: this.#store.log.lastTerm,
@@ -401,18 +402,21 @@
     return {
       getTerm: () => this.term,
       isLeader: () => this.#leadership !== undefined,
-      getHeardAt: () => this.#leaderContactAt,
+      getLeaderContactAt: () => this.#leaderContactAt,
       adoptTerm: (term) => this.#adoptTerm(term),
       voteForSelf: () => this.#term.voteFor(this.#options.identity.replicaId),
-      lead: () => this.#becomeLeader(),
-      lookAfterLeadership: (now) => this.#maintainLeadership(now),
+      becomeLeader: () => this.#becomeLeader(),
+      maintainLeadership: (now) => this.#maintainLeadership(now),
     };
   }
 
   #maintainLeadership(now: number): void {
     const leadership = this.#leadership;
     if (leadership === undefined) return;
-    this.#report.noteWaiting(this.#describePending(leadership, now), now);
+    this.#report.recordPendingEntries(
+      this.#describePending(leadership, now),
+      now,
+    );
     leadership.chooseWarmSpares(now);
     this.#checkQuorum(leadership, now);
   }
@@ -427,7 +431,7 @@
     this.#stepDown(LEADERSHIP_ENDS.NO_QUORUM);
   }
 
-  #describePending(leadership: Leadership, now: number): WaitingView {
+  #describePending(leadership: Leadership, now: number): PendingEntriesView {
     return {
       term: leadership.term,
       waiting: this.#store.log.lastIndex - this.#applier.commitIndex,
@@ -478,7 +482,7 @@
     const leadership = this.#leadership;
     if (leadership === undefined) return;
     const now = performance.now();
-    this.#report.noteEnd(
+    this.#report.recordLeadershipEnd(
       reason,
       this.#describePending(leadership, now),
       now - leadership.startedAt,
@@ -487,7 +491,7 @@
     leadership.end();
     if (this.#leader === this.#options.identity.replicaId) this.#leader = "";
     this.#leaderContactAt = now;
-    this.#applier.loseProposals();
+    this.#applier.failPendingProposals();
     if (!this.#isEstablished) return;
     this.#isEstablished = false;
     this.#options.metrics.leading.set({ group: this.group }, 0);
@@ -515,7 +519,7 @@
     const index = this.#store.log.lastIndex + 1;
     const entry = { index, term: leadership.term, kind, payload };
     const startedAt = performance.now();
-    const applied = this.#applier.waitFor(entry, startedAt);
+    const applied = this.#applier.addProposal(entry, startedAt);
     const synced = this.#store.appendOwn(entry);
     leadership.wake();
     // A quorum of other voters can commit the entry, so a stalled disk of the
--- a/packages/consensus/src/group/send_snapshot.ts
+++ b/packages/consensus/src/group/send_snapshot.ts
@@ -1,14 +1,14 @@
 /** Sends a snapshot to a member that lacks entries which the leader has dropped. */
 
 import {
-  describeThrown,
   fail,
   type Outcome,
   type ReplicaIdentity,
   RESULT_CODES,
   type SnapshotReply,
+  toCodedError,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { Err } from "ts-results";
 import type { StoredSnapshot } from "../storage/snapshot_store.ts";
 
@@ -19,7 +19,7 @@
 
 /** Sender and receiver of a snapshot. */
 export interface SnapshotTarget {
-  readonly caller: Caller;
+  readonly caller: PeerClient;
   readonly term: number;
   readonly from: ReplicaIdentity;
   readonly toIncarnation: string;
@@ -40,7 +40,7 @@
   let offset = 0;
   while (target.isWanted()) {
     const chunk = await snapshot.read(offset, CHUNK_BYTES)
-      .catch(describeThrown);
+      .catch(toCodedError);
     if ("code" in chunk) return Err(chunk);
     const last = offset + chunk.length >= snapshot.size;
     inFlight.push(sendChunk(chunk, { snapshot, target, offset, last }));
@@ -70,7 +70,7 @@
 ): Promise<Outcome<SnapshotReply>> {
   const { snapshot, target, offset, last } = details;
   return target.caller.call("consensus.snapshot", {
-    ...snapshot.point,
+    ...snapshot.metadata,
     term: target.term,
     from: target.from,
     toIncarnation: target.toIncarnation,
--- a/packages/consensus/src/group/send_snapshot_test.ts
+++ b/packages/consensus/src/group/send_snapshot_test.ts
@@ -7,7 +7,7 @@
   type SnapshotReply,
   type SnapshotRequest,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { test } from "tap";
 import { Ok } from "ts-results";
@@ -42,7 +42,7 @@
     return answer.promise;
   };
   const ended = sendSnapshot(snapshot as unknown as StoredSnapshot, {
-    caller: { call: call as never } as unknown as Caller,
+    caller: { call: call as never } as unknown as PeerClient,
     term: TERM,
     from: { replicaId: "a", incarnation: "a" },
     toIncarnation: "b",
--- a/packages/consensus/src/group/snapshot_times.ts
+++ b/packages/consensus/src/group/snapshot_times.ts
@@ -17,10 +17,10 @@
  *
  * @example
  * ```ts
- * noteSnapshot(options, { kind: SNAPSHOT_KINDS.SENT, milliseconds: 900 });
+ * recordSnapshotTime(options, { kind: SNAPSHOT_KINDS.SENT, milliseconds: 900 });
  * ```
  */
-export function noteSnapshot(
+export function recordSnapshotTime(
   options: Pick<GroupOptions, "group" | "metrics">,
   done: { readonly kind: SnapshotKind; readonly milliseconds: number },
 ): void {
--- a/packages/consensus/src/mocks/test_cluster.ts
+++ b/packages/consensus/src/mocks/test_cluster.ts
@@ -155,12 +155,12 @@
   isolate(id: string): void {
     for (const [name, proxy] of this.#proxies) {
       const [source, target] = name.split(">");
-      if (source === id || target === id) proxy.cut();
+      if (source === id || target === id) proxy.dropAll();
     }
   }
 
   /** Limits the bandwidth from one replica to each other replica. */
-  slowDown(source: string, bytesPerSecond: number): void {
+  limitOutgoingBandwidth(source: string, bytesPerSecond: number): void {
     for (const [name, proxy] of this.#proxies) {
       if (name.startsWith(`${source}>`)) {
         proxy.faults.bytesPerSecond = bytesPerSecond;
@@ -169,7 +169,7 @@
   }
 
   /** Limits the bandwidth from one replica to another. */
-  slowWay(source: string, target: string, bytesPerSecond: number): void {
+  limitBandwidth(source: string, target: string, bytesPerSecond: number): void {
     const proxy = this.#proxies.get(`${source}>${target}`);
     if (proxy !== undefined) proxy.faults.bytesPerSecond = bytesPerSecond;
   }
@@ -233,7 +233,7 @@
     const isSettled = () => {
       const group = this.getGroup(leader);
       return group !== undefined &&
-        group.membership.changedAt <= group.appliedIndex;
+        group.membership.changedIndex <= group.appliedIndex;
     };
     await this.waitFor("an applied membership change", isSettled);
   }
--- a/packages/consensus/src/replica_groups.ts
+++ b/packages/consensus/src/replica_groups.ts
@@ -22,8 +22,8 @@
 import { decideFounding, type FoundingDecision } from "./founding/founding.ts";
 import type { ReplicaSource } from "./founding/replica_source.ts";
 import type { GroupTiming } from "./group/group_options.ts";
-import { keepJoined, takeIn } from "./group/joining.ts";
-import { keepMembers } from "./group/keep_members.ts";
+import { admitMember, maintainMembership } from "./group/joining.ts";
+import { maintainMembers } from "./group/keep_members.ts";
 import { ReplicatedGroup } from "./group/replicated_group.ts";
 import type {
   LeadershipListener,
@@ -107,9 +107,9 @@
     const { replicas, timing, links, logger } = this.#options;
     const { signal } = this.#stopped;
     const { identity } = folder;
-    void keepMembers(group, { identity, replicas, timing, logger, signal });
+    void maintainMembers(group, { identity, replicas, timing, logger, signal });
     const self = this.#describeSelf(folder);
-    void keepJoined(group, { self, replicas, links, timing, signal });
+    void maintainMembership(group, { self, replicas, links, timing, signal });
   }
 
   /** Incarnation of the data folder. */
@@ -280,10 +280,10 @@
     group: ReplicatedGroup,
     request: JoinRequest,
   ): Promise<Outcome<Record<string, never>>> {
-    const retiring = this.#options.replicas.listRetiring();
+    const retiring = this.#options.replicas.listRetiringIncarnations();
     if (retiring.has(request.member.incarnation)) {
       return fail(RESULT_CODES.DRAINING, "This replica is being retired");
     }
-    return await takeIn(group, request);
+    return await admitMember(group, request);
   }
 }
--- a/packages/consensus/src/replica_groups_test.ts
+++ b/packages/consensus/src/replica_groups_test.ts
@@ -196,17 +196,17 @@
   await cluster.commit("before");
   const leader = await cluster.waitForLeader();
   const other = IDS.find((id) => id !== leader) ?? "";
-  const before = cluster.getGroup(leader)?.membership.changedAt ?? 0;
+  const before = cluster.getGroup(leader)?.membership.changedIndex ?? 0;
   const answer = await cluster.sendJoinRequest(other, leader, false);
   t.ok(answer.ok);
   const membership = cluster.getGroup(leader)?.membership;
-  t.ok((membership?.changedAt ?? 0) > before);
+  t.ok((membership?.changedIndex ?? 0) > before);
   t.equal(membership?.voters.length, 3);
   const again = await cluster.sendJoinRequest(other, leader, true);
   t.ok(again.ok);
   t.equal(
-    cluster.getGroup(leader)?.membership.changedAt,
-    membership?.changedAt,
+    cluster.getGroup(leader)?.membership.changedIndex,
+    membership?.changedIndex,
   );
 });
 
--- a/packages/consensus/src/slow_members_test.ts
+++ b/packages/consensus/src/slow_members_test.ts
@@ -1,4 +1,4 @@
-import { sleep, waitAtMost } from "@mallowlift/core";
+import { sleep, waitWithTimeout } from "@mallowlift/core";
 import { test } from "tap";
 import { createCluster } from "./mocks/create_cluster.ts";
 
@@ -16,7 +16,7 @@
   const others = IDS.filter((id) => id !== leader);
   const count = () => others.map((id) => cluster.countBytes(leader, id));
   const before = count();
-  cluster.slowDown(leader, 400_000);
+  cluster.limitOutgoingBandwidth(leader, 400_000);
   const filling = "x".repeat(20_000);
   const applied = await Promise.all(
     Array.from(
@@ -45,7 +45,7 @@
   const leader = await cluster.waitForLeader();
   const isFollowing = () => cluster.readCommands("s1").length === 1;
   await cluster.waitFor("the spare follows", isFollowing);
-  cluster.slowDown(leader, 400_000);
+  cluster.limitOutgoingBandwidth(leader, 400_000);
   const filling = "x".repeat(1_000);
   const names = Array.from({ length: 1_000 }, (_, number) => number + filling);
   const applying = Promise.all(
@@ -70,7 +70,7 @@
   const proposed = cluster.propose(leader, { name: "stalled", attempt: 1 });
   const isApplied = () => cluster.readCommands(leader).includes("stalled");
   await cluster.waitFor("the leader applied", isApplied);
-  const applied = await waitAtMost(proposed, 10_000);
+  const applied = await waitWithTimeout(proposed, 10_000);
   t.ok(applied?.ok, "the proposal is answered while the disk stalls");
   stall.release();
   await cluster.commit("after");
@@ -94,7 +94,7 @@
   await cluster.waitFor("the spare follows", () => hasAll("s1", 1));
   const restores = cluster.countRestores("s1");
   // The connection carries some 300 entries a second, and 500 are proposed.
-  cluster.slowWay(leader, "s1", 300_000);
+  cluster.limitBandwidth(leader, "s1", 300_000);
   const filling = "x".repeat(900);
   const proposing: Promise<unknown>[] = [];
   for (let number = 0; number < 1_100; number++) {
--- a/packages/consensus/src/storage/data_folder.ts
+++ b/packages/consensus/src/storage/data_folder.ts
@@ -11,8 +11,8 @@
   type LogEntry,
   type Member,
   type ReplicaIdentity,
-  TurnQueue,
-  waitAtMost,
+  SerialQueue,
+  waitWithTimeout,
 } from "@mallowlift/core";
 import { replaceFile } from "./durable_file.ts";
 import {
@@ -55,7 +55,7 @@
   readonly snapshots: SnapshotStore;
   readonly #stored = new Map<number, StoredGroup>();
   readonly #snapshotIndexes = new Map<number, number>();
-  readonly #snapshotQueue = new TurnQueue();
+  readonly #snapshotQueue = new SerialQueue();
 
   private constructor(path: string, identity: ReplicaIdentity) {
     this.identity = identity;
@@ -142,7 +142,7 @@
 
   /** Waits up to a timeout for a snapshot that is being written, then closes the log. */
   async close(): Promise<void> {
-    await waitAtMost(this.#snapshotQueue.idle, CLOSE_TIMEOUT_MILLISECONDS);
+    await waitWithTimeout(this.#snapshotQueue.idle, CLOSE_TIMEOUT_MILLISECONDS);
     await this.log.close();
   }
 
--- a/packages/consensus/src/storage/snapshot_store.ts
+++ b/packages/consensus/src/storage/snapshot_store.ts
@@ -48,7 +48,7 @@
 
 /** An open snapshot file that is read in chunks. */
 export class StoredSnapshot {
-  readonly point: SnapshotMetadata;
+  readonly metadata: SnapshotMetadata;
   /** Size of the state, bytes. */
   readonly size: number;
   readonly #handle: FileHandle;
@@ -59,7 +59,7 @@
     file: { readonly handle: FileHandle; readonly stateOffset: number },
   ) {
     const { stateBytes, stateChecksum: _checksum, ...metadata } = header;
-    this.point = metadata;
+    this.metadata = metadata;
     this.size = stateBytes;
     this.#handle = file.handle;
     this.#stateOffset = file.stateOffset;
--- a/packages/consensus/src/storage/snapshot_store_test.ts
+++ b/packages/consensus/src/storage/snapshot_store_test.ts
@@ -31,7 +31,7 @@
   await store.save(createSnapshot(5, 7));
   const opened = await store.open(1);
   await store.save(createSnapshot(6, 8));
-  t.equal(opened?.point.lastIndex, 5);
+  t.equal(opened?.metadata.lastIndex, 5);
   t.equal(opened?.size, SIZE + 3);
   const first = await opened?.read(0, 10);
   t.same(first, Buffer.alloc(10, 7));
--- a/packages/core/src/logs/log_rate_limiter.ts
+++ b/packages/core/src/logs/log_rate_limiter.ts
@@ -15,13 +15,13 @@
  *
  * @example
  * ```ts
- * const limit = new RepeatLimit(10_000);
+ * const limit = new LogRateLimiter(10_000);
  * limit.take("program-1", 0); // 0: write the line
  * limit.take("program-1", 20); // undefined: suppress the line
  * limit.take("program-1", 10_000); // 1: write the line; one was suppressed
  * ```
  */
-export class RepeatLimit {
+export class LogRateLimiter {
   readonly #intervalMilliseconds: number;
   readonly #subjects = new Map<string, SubjectState>();
 
--- a/packages/core/src/logs/log_rate_limiter_test.ts
+++ b/packages/core/src/logs/log_rate_limiter_test.ts
@@ -1,8 +1,8 @@
 import { test } from "tap";
-import { RepeatLimit } from "./log_rate_limiter.ts";
+import { LogRateLimiter } from "./log_rate_limiter.ts";
 
 test("one line per subject and interval is allowed, and the others are counted", (t) => {
-  const limit = new RepeatLimit(1_000);
+  const limit = new LogRateLimiter(1_000);
   t.equal(limit.take("a", 0), 0);
   t.equal(limit.take("a", 10), undefined);
   t.equal(limit.take("b", 10), 0, "subjects are limited separately");
@@ -13,7 +13,7 @@
 });
 
 test("the number of tracked subjects is bounded", (t) => {
-  const limit = new RepeatLimit(1_000);
+  const limit = new LogRateLimiter(1_000);
   for (let number = 0; number <= 1_000; number++) limit.take(`${number}`, 0);
   t.equal(limit.take("0", 1), 0, "the oldest subject is evicted");
   t.equal(limit.take("1000", 1), undefined, "the newest is not");
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -44,23 +44,23 @@
   readonly commitSeconds: Histogram<"group">;
   readonly callSeconds: Histogram<"kind">;
   readonly leading: Gauge<"group">;
-  readonly waitingEntries: Gauge<"group">;
+  readonly pendingEntries: Gauge<"group">;
   readonly leadershipEnds: Counter<"group" | "reason">;
   readonly snapshotSeconds: Histogram<"group" | "kind">;
   readonly votes: Counter<"group" | "outcome">;
   readonly proposals: Counter<"kind">;
-  readonly repeatedAsks: Counter<"kind">;
-  readonly unheardAnswers: Counter<"kind">;
+  readonly repeatedCommands: Counter<"kind">;
+  readonly abandonedCommands: Counter<"kind">;
   readonly revision: Gauge;
   readonly running: Gauge;
   readonly queued: Gauge;
   readonly cachedTokens: Counter;
   readonly promptTokens: Counter;
-  readonly strangeInstances: Counter<"reason">;
+  readonly invalidInstances: Counter<"reason">;
   readonly instanceListReadAt: Gauge;
   readonly instanceListReads: Counter<"outcome">;
   readonly malformedFrames: Counter<"reason">;
-  readonly stoodStillSeconds: Counter;
+  readonly processStallSeconds: Counter;
   readonly peerBytes: Counter<"direction">;
 }
 
@@ -118,7 +118,7 @@
       labelNames: ["group"],
       registers,
     }),
-    waitingEntries: new Gauge({
+    pendingEntries: new Gauge({
       name: "mallowlift_waiting_entries",
       help: "Entries of this leader that are not committed yet",
       labelNames: ["group"],
@@ -149,13 +149,13 @@
       labelNames: ["kind"],
       registers,
     }),
-    repeatedAsks: new Counter({
+    repeatedCommands: new Counter({
       name: "mallowlift_repeated_asks_total",
       help: "Requests for a command that was already in flight, by kind",
       labelNames: ["kind"],
       registers,
     }),
-    unheardAnswers: new Counter({
+    abandonedCommands: new Counter({
       name: "mallowlift_unheard_answers_total",
       help: "Commands decided after all their callers had given up, by kind",
       labelNames: ["kind"],
@@ -192,12 +192,12 @@
       labelNames: ["direction"],
       registers,
     }),
-    stoodStillSeconds: new Counter({
+    processStallSeconds: new Counter({
       name: "mallowlift_stood_still_seconds_total",
       help: "Time for which the process was stalled",
       registers,
     }),
-    strangeInstances: new Counter({
+    invalidInstances: new Counter({
       name: "mallowlift_strange_instances_total",
       help: "Invalid entries of the instance list, by reason",
       labelNames: ["reason"],
--- a/packages/core/src/result/coded_error.ts
+++ b/packages/core/src/result/coded_error.ts
@@ -67,7 +67,7 @@
 }
 
 /** Converts a thrown value to a coded error with the same message. */
-export function describeThrown(thrown: unknown): CodedError {
+export function toCodedError(thrown: unknown): CodedError {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   return { code: RESULT_CODES.INTERNAL, message };
 }
--- a/packages/core/src/shared/message_size.ts
+++ b/packages/core/src/shared/message_size.ts
@@ -15,12 +15,12 @@
 /**
  * Minimum size, bytes; in smaller messages the overhead per message dominates.
  */
-export const LEAST_MESSAGE_BYTES = 16_384;
+export const MIN_MESSAGE_BYTES = 16_384;
 /**
  * Maximum size, bytes: about 10 ms of a 100 Mbit/s link, so that heartbeats to
  * all members are sent in time between the messages.
  */
-export const MOST_MESSAGE_BYTES = 131_072;
+export const MAX_MESSAGE_BYTES = 131_072;
 
 /**
  * Computes the maximum size of the next message, bytes, from the size and
@@ -29,20 +29,20 @@
  *
  * @example
  * ```ts
- * findMessageBytes(131_072, { sent: 131_000, milliseconds: 330 }); // 65_536
- * findMessageBytes(65_536, { sent: 60_000, milliseconds: 20 }); // 131_072
+ * computeMessageBytes(131_072, { sent: 131_000, milliseconds: 330 }); // 65_536
+ * computeMessageBytes(65_536, { sent: 60_000, milliseconds: 20 }); // 131_072
  * ```
  */
-export function findMessageBytes(
+export function computeMessageBytes(
   allowed: number,
   last: { readonly sent: number; readonly milliseconds: number },
 ): number {
   const { sent, milliseconds } = last;
   const isSlow = milliseconds > MAX_MESSAGE_MILLISECONDS;
   // A small message is slow only because it waited for something else.
-  if (isSlow && sent >= LEAST_MESSAGE_BYTES) {
-    return Math.max(LEAST_MESSAGE_BYTES, allowed / 2);
+  if (isSlow && sent >= MIN_MESSAGE_BYTES) {
+    return Math.max(MIN_MESSAGE_BYTES, allowed / 2);
   }
   const isFast = milliseconds < MAX_MESSAGE_MILLISECONDS / 2;
-  return isFast ? Math.min(MOST_MESSAGE_BYTES, allowed * 2) : allowed;
+  return isFast ? Math.min(MAX_MESSAGE_BYTES, allowed * 2) : allowed;
 }
--- a/packages/core/src/shared/message_size_test.ts
+++ b/packages/core/src/shared/message_size_test.ts
@@ -1,8 +1,8 @@
 import { test } from "tap";
 import {
-  findMessageBytes,
-  LEAST_MESSAGE_BYTES,
-  MOST_MESSAGE_BYTES,
+  computeMessageBytes,
+  MAX_MESSAGE_BYTES,
+  MIN_MESSAGE_BYTES,
 } from "./message_size.ts";
 
 /**
@@ -10,10 +10,10 @@
  * bandwidth.
  */
 function findSteadySize(bytesPerSecond: number, messages: number): number {
-  let allowed = MOST_MESSAGE_BYTES;
+  let allowed = MAX_MESSAGE_BYTES;
   for (let count = 0; count < messages; count++) {
     const milliseconds = allowed * 1_000 / bytesPerSecond;
-    allowed = findMessageBytes(allowed, { sent: allowed, milliseconds });
+    allowed = computeMessageBytes(allowed, { sent: allowed, milliseconds });
   }
   return allowed;
 }
@@ -31,18 +31,18 @@
 });
 
 test("a fast link keeps large messages, and small ones grow again", (t) => {
-  t.equal(findSteadySize(16_000_000, 20), MOST_MESSAGE_BYTES);
-  const sent = { sent: LEAST_MESSAGE_BYTES, milliseconds: 3 };
-  let allowed = LEAST_MESSAGE_BYTES;
+  t.equal(findSteadySize(16_000_000, 20), MAX_MESSAGE_BYTES);
+  const sent = { sent: MIN_MESSAGE_BYTES, milliseconds: 3 };
+  let allowed = MIN_MESSAGE_BYTES;
   for (let count = 0; count < 4; count++) {
-    allowed = findMessageBytes(allowed, sent);
+    allowed = computeMessageBytes(allowed, sent);
   }
-  t.equal(allowed, MOST_MESSAGE_BYTES);
+  t.equal(allowed, MAX_MESSAGE_BYTES);
   t.end();
 });
 
 test("a small message that was delayed does not reduce the size", (t) => {
   const last = { sent: 100, milliseconds: 900 };
-  t.equal(findMessageBytes(MOST_MESSAGE_BYTES, last), MOST_MESSAGE_BYTES);
+  t.equal(computeMessageBytes(MAX_MESSAGE_BYTES, last), MAX_MESSAGE_BYTES);
   t.end();
 });
--- a/packages/core/src/shared/serial_queue.ts
+++ b/packages/core/src/shared/serial_queue.ts
@@ -5,11 +5,11 @@
  *
  * @example
  * ```ts
- * const queue = new TurnQueue();
+ * const queue = new SerialQueue();
  * await Promise.all([queue.run(first), queue.run(second)]); // first, then second
  * ```
  */
-export class TurnQueue {
+export class SerialQueue {
   #last: Promise<void> = Promise.resolve();
 
   /**
--- a/packages/core/src/shared/serial_queue_test.ts
+++ b/packages/core/src/shared/serial_queue_test.ts
@@ -1,9 +1,9 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { test } from "tap";
-import { TurnQueue } from "./serial_queue.ts";
+import { SerialQueue } from "./serial_queue.ts";
 
 test("tasks run one after another, also after a failed one", async (t) => {
-  const queue = new TurnQueue();
+  const queue = new SerialQueue();
   const steps: string[] = [];
   const work = (name: string, isFailing = false) => async () => {
     steps.push(`${name} begins`);
--- a/packages/core/src/shared/sleep.ts
+++ b/packages/core/src/shared/sleep.ts
@@ -38,7 +38,7 @@
  *
  * @returns the value, or undefined on a timeout
  */
-export async function waitAtMost<T>(
+export async function waitWithTimeout<T>(
   promise: Promise<T>,
   milliseconds: number,
 ): Promise<T | undefined> {
--- a/packages/core/src/shared/token_estimate.ts
+++ b/packages/core/src/shared/token_estimate.ts
@@ -14,10 +14,10 @@
  *
  * @example
  * ```ts
- * measureMessages([{ role: "user", content: "stake 12" }]); // 6
+ * estimatePromptTokens([{ role: "user", content: "stake 12" }]); // 6
  * ```
  */
-export function measureMessages(messages: readonly ChatMessage[]): number {
+export function estimatePromptTokens(messages: readonly ChatMessage[]): number {
   let tokens = 0;
   for (const message of messages) {
     tokens += TOKENS_PER_MESSAGE;
--- a/packages/core/src/supervisor/supervisor.ts
+++ b/packages/core/src/supervisor/supervisor.ts
@@ -7,7 +7,7 @@
 import { performance } from "node:perf_hooks";
 import type { Logger } from "../logs/logger.ts";
 import { createDeferred, type Deferred, sleep } from "../shared/sleep.ts";
-import { describeThrown } from "../result/coded_error.ts";
+import { toCodedError } from "../result/coded_error.ts";
 
 const RESTART_DELAY_MILLISECONDS = 100;
 
@@ -98,7 +98,7 @@
   async #watch(slot: Slot, ended: Promise<void>): Promise<void> {
     const reason = await ended.then(
       () => "ended",
-      (thrown) => describeThrown(thrown).message,
+      (thrown) => toCodedError(thrown).message,
     );
     if (this.#stopping) return;
     const name = slot.child?.name ?? "";
--- a/packages/core/src/types/internal_handlers.ts
+++ b/packages/core/src/types/internal_handlers.ts
@@ -32,15 +32,17 @@
 } from "./resources.ts";
 import type { SidecarReport, SidecarStatus } from "./sidecars.ts";
 import type { InstanceListReply, ReadInstanceList } from "./instances.ts";
-import type { PermitsTaken, TakePermits } from "./quotas.ts";
+import type { TakePermits, TakePermitsReply } from "./quotas.ts";
 import type {
   BeginTurn,
+  BeginTurnReply,
   DirectoryComparison,
   DirectoryDifference,
   DirectoryExchange,
   DocumentPart,
   DocumentProgress,
   EndTurn,
+  EndTurnReply,
   FollowReply,
   FollowRequest,
   FoundingClaim,
@@ -48,14 +50,12 @@
   NewestDocument,
   PutDocumentPart,
   ReadDocumentPart,
-  RetireState,
+  RetirementStatus,
   RetireStore,
-  TurnBegun,
-  TurnEnded,
 } from "./site.ts";
 
 /** A message without content. */
-export interface Nothing {
+export interface EmptyMessage {
   readonly nothing?: undefined;
 }
 
@@ -113,7 +113,7 @@
 }
 
 /** Reports to the owner the text that a caller received from a lost attempt. */
-export interface ToldText extends CallKey {
+export interface DeliveredText extends CallKey {
   readonly attempt: number;
   readonly text: string;
 }
@@ -205,7 +205,7 @@
   readonly silentMilliseconds: number;
 }
 
-interface Signature<Request, Reply, Chunk = Nothing> {
+interface Signature<Request, Reply, Chunk = EmptyMessage> {
   readonly request: Request;
   readonly reply: Reply;
   readonly chunk: Chunk;
@@ -217,8 +217,8 @@
   "consensus.append": Signature<AppendRequest, AppendReply>;
   "consensus.snapshot": Signature<SnapshotRequest, SnapshotReply>;
   "consensus.founding": Signature<FoundingQuery, FoundingState>;
-  "consensus.join": Signature<JoinRequest, Nothing>;
-  "consensus.handover": Signature<HandoverRequest, Nothing>;
+  "consensus.join": Signature<JoinRequest, EmptyMessage>;
+  "consensus.handover": Signature<HandoverRequest, EmptyMessage>;
   "configuration.poll": Signature<ConfigurationPoll, ConfigurationUpdate>;
   "configuration.order": Signature<ResourceOrder, OrderResult>;
   "configuration.lease": Signature<LeaseRequest, LeaseReply>;
@@ -228,15 +228,15 @@
   "programs.end": Signature<EndProgramRequest, ProgramView>;
   "programs.alive": Signature<AliveRequest, AliveReply>;
   "calls.run": Signature<RunCallRequest, RunCallReply, RunCallEvent>;
-  "calls.told": Signature<ToldText, Nothing>;
-  "sidecars.report": Signature<SidecarReport, Nothing>;
+  "calls.told": Signature<DeliveredText, EmptyMessage>;
+  "sidecars.report": Signature<SidecarReport, EmptyMessage>;
   "attempts.dispatch": Signature<DispatchRequest, Answer>;
   "attempts.await": Signature<RecoverRequest, Answer>;
-  "attempts.attach": Signature<AttachRequest, Nothing, TextChunk>;
+  "attempts.attach": Signature<AttachRequest, EmptyMessage, TextChunk>;
   "attempts.recover": Signature<RecoverRequest, AttemptState>;
-  "attempts.cancel": Signature<RecoverRequest, Nothing>;
-  "cache.release": Signature<ReleaseRequest, Nothing>;
-  "replica.status": Signature<Nothing, ReplicaStatus>;
+  "attempts.cancel": Signature<RecoverRequest, EmptyMessage>;
+  "cache.release": Signature<ReleaseRequest, EmptyMessage>;
+  "replica.status": Signature<EmptyMessage, ReplicaStatus>;
   "directory.exchange": Signature<DirectoryExchange, DirectoryExchange>;
   "directory.compare": Signature<DirectoryComparison, DirectoryDifference>;
   "directory.claim": Signature<FoundingClaim, FoundingGrant>;
@@ -244,12 +244,12 @@
   "instances.read": Signature<ReadInstanceList, InstanceListReply>;
   "document.put": Signature<PutDocumentPart, DocumentProgress>;
   "document.read": Signature<ReadDocumentPart, DocumentPart>;
-  "document.newest": Signature<Nothing, NewestDocument>;
-  "site.retire": Signature<RetireStore, Nothing>;
-  "site.retirement": Signature<RetireStore, RetireState>;
-  "turns.begin": Signature<BeginTurn, TurnBegun>;
-  "turns.end": Signature<EndTurn, TurnEnded>;
-  "quota.take": Signature<TakePermits, PermitsTaken>;
+  "document.newest": Signature<EmptyMessage, NewestDocument>;
+  "site.retire": Signature<RetireStore, EmptyMessage>;
+  "site.retirement": Signature<RetireStore, RetirementStatus>;
+  "turns.begin": Signature<BeginTurn, BeginTurnReply>;
+  "turns.end": Signature<EndTurn, EndTurnReply>;
+  "quota.take": Signature<TakePermits, TakePermitsReply>;
 }
 
 /** Creates a program. */
--- a/packages/core/src/types/quotas.ts
+++ b/packages/core/src/types/quotas.ts
@@ -1,7 +1,7 @@
 /** Messages that grant permits to send requests under workspace quotas. */
 
 /** Quota of a workspace, from the routing document of the requester. */
-export interface QuotaBound {
+export interface QuotaLimit {
   readonly workspace: string;
   /** Version of the document; the quota of the highest version applies. */
   readonly version: number;
@@ -11,7 +11,7 @@
 }
 
 /** Requests permits to send requests of a workspace. */
-export interface QuotaCharge extends QuotaBound {
+export interface QuotaCharge extends QuotaLimit {
   /** Permits for requests that are waiting. */
   readonly needed: number;
   /** Additional permits, granted while usage is not close to the quota. */
@@ -35,6 +35,6 @@
 }
 
 /** Reply to {@linkcode TakePermits}, in the order of the charges. */
-export interface PermitsTaken {
+export interface TakePermitsReply {
   readonly grants: readonly QuotaGrant[];
 }
--- a/packages/core/src/types/site.ts
+++ b/packages/core/src/types/site.ts
@@ -1,7 +1,7 @@
 /** Messages between gateways and stores, and of the daemon directory. */
 
 import type { InstanceListReply } from "./instances.ts";
-import type { QuotaBound, QuotaCharge } from "./quotas.ts";
+import type { QuotaCharge, QuotaLimit } from "./quotas.ts";
 import type { RoutingDocument } from "./routing.ts";
 
 /** Directory record of a daemon, spread by gossip between daemons. */
@@ -180,7 +180,7 @@
 }
 
 /** A turn of a program's history, as it is stored. */
-export interface KeptTurn {
+export interface TurnRecord {
   readonly turnId: string;
   /** Turn that this one continues; empty at the start of a turn chain. */
   readonly previousId: string;
@@ -191,7 +191,7 @@
 }
 
 /** Begins a turn: reserves its tokens and reads the turns that it continues. */
-export interface BeginTurn extends TurnReserve {
+export interface BeginTurn extends TurnReservation {
   /** Latest turn of the chain that the gateway lacks; empty if it has all. */
   readonly missingFrom: string;
   /**
@@ -202,7 +202,7 @@
 }
 
 /** Reserves tokens and quota for a turn. */
-export interface TurnReserve {
+export interface TurnReservation {
   readonly turnId: string;
   readonly programId: string;
   /** Turn that this one continues; empty at the start of a turn chain. */
@@ -212,13 +212,13 @@
   /** Maximum number of tokens that this turn may generate. */
   readonly mostTokens: number;
   /** Quota to which the turn is charged; missing if there is none. */
-  readonly quota?: QuotaBound;
+  readonly quota?: QuotaLimit;
 }
 
 /** Reply to a {@linkcode BeginTurn}. */
-export interface TurnBegun {
+export interface BeginTurnReply {
   /** The turns from `missingFrom` back to a known one, newest first. */
-  readonly turns: readonly KeptTurn[];
+  readonly turns: readonly TurnRecord[];
   /** Upstream that ran the program's latest turn; empty if unknown. */
   readonly latestUpstream?: string;
   /**
@@ -251,7 +251,7 @@
 }
 
 /** Reply to an {@linkcode EndTurn}. */
-export interface TurnEnded {
+export interface EndTurnReply {
   /** Permits that were granted; missing if none were requested. */
   readonly permits?: number;
 }
@@ -262,6 +262,6 @@
 }
 
 /** Progress of a retirement. */
-export interface RetireState {
+export interface RetirementStatus {
   readonly done: boolean;
 }
--- a/packages/daemon/src/stall_watch.ts
+++ b/packages/daemon/src/stall_watch.ts
@@ -60,7 +60,7 @@
       CHECK_INTERVAL_MILLISECONDS;
     this.#checkedAt = now;
     if (delayMilliseconds < STALL_MILLISECONDS) return;
-    this.#options.metrics.stoodStillSeconds.inc(delayMilliseconds / 1_000);
+    this.#options.metrics.processStallSeconds.inc(delayMilliseconds / 1_000);
     this.#options.logger.warn("Stood still", {
       milliseconds: Math.round(delayMilliseconds),
     });
--- a/packages/daemon/src/stall_watch_test.ts
+++ b/packages/daemon/src/stall_watch_test.ts
@@ -18,6 +18,6 @@
   t.same(warnings, [], "a busy process is not reported as frozen");
   watch.check(startedAt + 1_200 + 1_000 + 6_000);
   t.same(warnings, [["Stood still", { milliseconds: 6_000 }]]);
-  const counted = await metrics.stoodStillSeconds.get();
+  const counted = await metrics.processStallSeconds.get();
   t.equal(Math.round(counted.values[0]?.value ?? 0), 6);
 });
--- a/packages/entry/src/callers/follow_stream.ts
+++ b/packages/entry/src/callers/follow_stream.ts
@@ -4,20 +4,20 @@
  */
 
 import { ABORTED } from "@mallowlift/core";
-import type { AttemptKey, RunCallEvent, ToldText } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { AttemptKey, DeliveredText, RunCallEvent } from "@mallowlift/core";
+import type { PeerClient } from "@mallowlift/transport";
 
 const ATTACH_TIMEOUT_MILLISECONDS = 2_000_000_000;
 const REPORT_TIMEOUT_MILLISECONDS = 1_000;
 
 /** Options of a {@linkcode StreamFollower}. */
 export interface StreamFollowerOptions {
-  readonly findSidecar: (address: string) => Caller;
+  readonly findSidecar: (address: string) => PeerClient;
   /**
    * Reports the text that the caller has received to the owner of the program,
    * so that the next attempt can continue it.
    */
-  readonly reportDeliveredText: (text: ToldText) => Promise<unknown>;
+  readonly reportDeliveredText: (text: DeliveredText) => Promise<unknown>;
   /** Sends further text to the caller. */
   readonly onText: (text: string) => void;
   readonly signal: AbortSignal;
--- a/packages/entry/src/callers/follow_stream_test.ts
+++ b/packages/entry/src/callers/follow_stream_test.ts
@@ -8,7 +8,7 @@
   type RunCallEvent,
   type TextChunk,
 } from "@mallowlift/core";
-import type { Caller, CallOptions } from "@mallowlift/transport";
+import type { CallOptions, PeerClient } from "@mallowlift/transport";
 import fc from "fast-check";
 import { test } from "tap";
 import { StreamFollower } from "./follow_stream.ts";
@@ -16,7 +16,7 @@
 const SEED = 1;
 
 /** A sidecar that sends chunks when the test calls `send`. */
-class FakeSidecar implements Caller {
+class FakeSidecar implements PeerClient {
   send: ((chunk: TextChunk) => void) | undefined;
 
   call<N extends HandlerName>(
--- a/packages/entry/src/owners/owner_directory.ts
+++ b/packages/entry/src/owners/owner_directory.ts
@@ -10,7 +10,7 @@
   type ResultCode,
   sleep,
 } from "@mallowlift/core";
-import type { Caller, CallOptions } from "@mallowlift/transport";
+import type { CallOptions, PeerClient } from "@mallowlift/transport";
 
 const RETRY_DELAY_MILLISECONDS = 30;
 const RETRY_AFTER_MILLISECONDS = 1_000;
@@ -32,13 +32,13 @@
 
 /** Caches which replica leads each group and forwards requests to it. */
 export class OwnerDirectory {
-  readonly #replicas: readonly Caller[];
+  readonly #replicas: readonly PeerClient[];
   readonly #waitMilliseconds: number;
   readonly #metrics: Metrics;
   readonly #leaders = new Map<number, number>();
 
   constructor(
-    replicas: readonly Caller[],
+    replicas: readonly PeerClient[],
     options: { readonly waitMilliseconds: number; readonly metrics: Metrics },
   ) {
     this.#replicas = replicas;
@@ -47,7 +47,7 @@
   }
 
   /** All replicas. */
-  get replicas(): readonly Caller[] {
+  get replicas(): readonly PeerClient[] {
     return this.#replicas;
   }
 
--- a/packages/gateway/src/calls/call_dependencies.ts
+++ b/packages/gateway/src/calls/call_dependencies.ts
@@ -13,17 +13,17 @@
   readonly dialect: CallerDialect;
   readonly upstreams: UpstreamTable;
   /** Records which upstream has processed which prompt parts. */
-  readonly prompts: PromptMemory;
+  readonly promptMemory: PromptMemory;
   readonly urgency: ProgramUrgency;
   /** Checks the keys and quotas of workspaces before each send. */
-  readonly gate: SendGate;
+  readonly sendGate: SendGate;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Number of gateways that currently share the upstreams. */
   readonly countGateways: () => number;
   readonly random: () => number;
   /** Time since the instance list was last read, ms. */
-  readonly findListAge: (now: number) => number;
+  readonly findListAgeMilliseconds: (now: number) => number;
 }
 
 /** Why a call got no answer from an upstream. */
--- a/packages/gateway/src/calls/classify_answer.ts
+++ b/packages/gateway/src/calls/classify_answer.ts
@@ -2,7 +2,7 @@
 
 import { type CodedError, RESULT_CODES } from "@mallowlift/core";
 import type { AnswerFacts } from "../dialect.ts";
-import type { Belonging } from "../upstreams/upstream_connection.ts";
+import type { AnswerMatch } from "../upstreams/upstream_connection.ts";
 
 const MIN_SERVER_ERROR_STATUS = 500;
 
@@ -13,7 +13,7 @@
 
 /** What the head of an answer means for the pending request. */
 export interface AnswerClassification {
-  readonly belonging: Belonging;
+  readonly belonging: AnswerMatch;
   /** Set if the upstream guarantees that it did not run the request. */
   readonly notRun?: CodedError;
 }
@@ -33,7 +33,7 @@
 ): AnswerClassification {
   const hasCallId = facts.callId !== undefined;
   if (hasCallId && facts.callId !== callId) return { belonging: "other" };
-  if (facts.isOtherInstance) {
+  if (facts.isWrongInstance) {
     const message = "The address now belongs to another instance";
     const notRun = { code: RESULT_CODES.NO_UPSTREAM, message };
     return { belonging: "own", notRun };
--- a/packages/gateway/src/calls/classify_answer_test.ts
+++ b/packages/gateway/src/calls/classify_answer_test.ts
@@ -7,7 +7,7 @@
   return {
     callId: "own",
     notRun: false,
-    isOtherInstance: false,
+    isWrongInstance: false,
     isGenuine: true,
     ...more,
   };
@@ -26,7 +26,7 @@
     const full = classifyAnswer(createFacts({ callId, notRun: true }), "own");
     t.equal(full.belonging, "own");
     t.equal(full.notRun?.code, RESULT_CODES.QUEUE_FULL);
-    const other = createFacts({ callId, isOtherInstance: true });
+    const other = createFacts({ callId, isWrongInstance: true });
     t.equal(
       classifyAnswer(other, "own").notRun?.code,
       RESULT_CODES.NO_UPSTREAM,
--- a/packages/gateway/src/calls/open_call.ts
+++ b/packages/gateway/src/calls/open_call.ts
@@ -3,7 +3,12 @@
 import { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
 import type { CodedError, ResultCode } from "@mallowlift/core";
-import type { CallFacts, CallHead, OwnAnswer, RawHeaders } from "../dialect.ts";
+import type {
+  CallFacts,
+  CallHead,
+  GatewayAnswer,
+  RawHeaders,
+} from "../dialect.ts";
 import type { Admission } from "../workspaces/key_admission.ts";
 
 /** Unread bytes of an event stream above which its connection is destroyed. */
@@ -43,7 +48,7 @@
 export class OpenCall {
   readonly parts: OpenCallOptions;
   readonly deadlineAt: number;
-  readonly story: CallSummary = {
+  readonly summary: CallSummary = {
     status: 0,
     code: "OK",
     upstream: "",
@@ -58,7 +63,7 @@
   constructor(parts: OpenCallOptions, now: number) {
     this.parts = parts;
     const allowed = Math.min(
-      parts.facts.patienceMilliseconds,
+      parts.facts.callerTimeoutMilliseconds,
       parts.route.timeoutMilliseconds,
     );
     this.deadlineAt = parts.arrivedAt + allowed;
@@ -119,7 +124,7 @@
 
   /** Sends a complete answer of an upstream. */
   answer(status: number, headers: RawHeaders, body: Buffer): void {
-    this.story.status = status;
+    this.summary.status = status;
     const { response } = this.parts;
     if (response.destroyed || response.headersSent) return;
     // Answers that never have a body must not get a Content-Length here.
@@ -133,19 +138,19 @@
   }
 
   /** Sends an answer that the gateway generated itself. */
-  answerFromGateway(answer: OwnAnswer): void {
-    this.story.status = answer.status;
-    writeOwnAnswer(this.parts.response, answer);
+  answerFromGateway(answer: GatewayAnswer): void {
+    this.summary.status = answer.status;
+    writeGatewayAnswer(this.parts.response, answer);
   }
 
   /** Records why the call got no answer from an upstream. */
   recordFailure(error: CodedError): void {
-    this.story.code = error.code.name;
+    this.summary.code = error.code.name;
   }
 
   /** Records the result code of the call. */
   recordCode(code: ResultCode): void {
-    this.story.code = code.name;
+    this.summary.code = code.name;
   }
 
   /** Sends a part of an answer; false if the caller's buffer is full. */
@@ -161,7 +166,7 @@
 
   /** Sends the head of an answer whose body follows in parts. */
   startAnswer(status: number, headers: RawHeaders): void {
-    this.story.status = status;
+    this.summary.status = status;
     const { response } = this.parts;
     if (response.destroyed) return;
     response.writeHead(status, [...headers]);
@@ -170,10 +175,10 @@
 
   /** Sends one event; destroys the connection if too much is unread. */
   sendEvent(event: Buffer): void {
-    this.story.events++;
+    this.summary.events++;
     const { response } = this.parts;
     if (response.destroyed) return;
-    if (response.writableLength > MAX_UNSENT_BYTES) return this.breakOff();
+    if (response.writableLength > MAX_UNSENT_BYTES) return this.disconnect();
     response.write(event);
   }
 
@@ -183,15 +188,15 @@
   }
 
   /** Destroys the connection, so that a partial answer does not look complete. */
-  breakOff(): void {
+  disconnect(): void {
     this.parts.response.destroy();
   }
 }
 
 /** Writes an answer that the gateway generated itself. */
-export function writeOwnAnswer(
+export function writeGatewayAnswer(
   response: ServerResponse,
-  answer: OwnAnswer,
+  answer: GatewayAnswer,
 ): void {
   if (response.destroyed || response.headersSent) return;
   const length = String(Buffer.byteLength(answer.body));
--- a/packages/gateway/src/calls/open_call_test.ts
+++ b/packages/gateway/src/calls/open_call_test.ts
@@ -11,7 +11,7 @@
     head: { method: "GET", target: "/", headers: [] },
     facts: {
       callId: "c",
-      patienceMilliseconds: 60_000,
+      callerTimeoutMilliseconds: 60_000,
       programId: "",
       previousTurnId: "",
       tokenBudget: -1,
--- a/packages/gateway/src/calls/run_attempt.ts
+++ b/packages/gateway/src/calls/run_attempt.ts
@@ -15,7 +15,7 @@
 import { classifyAnswer, isServerError } from "./classify_answer.ts";
 import type {
   AnswerListener,
-  Belonging,
+  AnswerMatch,
   OutgoingRequest,
   UpstreamConnection,
 } from "../upstreams/upstream_connection.ts";
@@ -127,8 +127,8 @@
 ): AttemptResult {
   const now = performance.now();
   if (error.code === RESULT_CODES.QUEUE_FULL) {
-    upstream.health.noteFull(now, FULL_BACKOFF_MILLISECONDS);
-  } else upstream.health.noteFailure(now);
+    upstream.health.markFull(now, FULL_BACKOFF_MILLISECONDS);
+  } else upstream.health.recordFailure(now);
   return { kind: "not_run", error };
 }
 
@@ -162,20 +162,20 @@
     signal.addEventListener("abort", abort, { once: true });
     connection.onIdle = () =>
       upstream.release(connection, limits, performance.now());
-    upstream.health.noteSent(this, this.#sentAt);
+    upstream.health.recordSent(this, this.#sentAt);
     connection.send(request, this);
     const result = await this.#done.promise;
-    upstream.health.noteHeard(this);
+    upstream.health.recordSettled(this);
     this.#stopSilenceTimer();
     signal.removeEventListener("abort", abort);
     return result;
   }
 
-  onHead(head: AnswerHead): Belonging {
+  onHead(head: AnswerHead): AnswerMatch {
     const { dialect, callId, events } = this.#options;
     const classified = classifyAnswer(dialect.readAnswer(head), callId);
     if (classified.belonging !== "own") return classified.belonging;
-    this.#options.upstream.health.noteHeard(this);
+    this.#options.upstream.health.recordSettled(this);
     this.#recordKeepAlive(head);
     if (classified.notRun !== undefined) this.#recordNotRun(classified.notRun);
     this.#head = head;
@@ -205,7 +205,7 @@
     if (this.#bufferedBytes > MAX_BUFFERED_BYTES) this.#startForwarding();
   }
 
-  onWhole(): void {
+  onComplete(): void {
     const head = this.#head;
     if (head === undefined) return this.#abandon(RESULT_CODES.INTERNAL);
     if (this.#notRun !== undefined) {
@@ -227,7 +227,7 @@
     if (this.#notRun !== undefined) {
       return this.#done.resolve({ kind: "not_run", error: this.#notRun });
     }
-    this.#options.upstream.health.noteFailure(performance.now());
+    this.#options.upstream.health.recordFailure(performance.now());
     this.#done.resolve({ kind: "lost", error: createError(code, message) });
   }
 
@@ -263,7 +263,7 @@
   }
 
   #handleSilence(): void {
-    this.#options.upstream.health.noteFailure(performance.now());
+    this.#options.upstream.health.recordFailure(performance.now());
     this.#abandon(RESULT_CODES.TIMEOUT);
   }
 
@@ -272,7 +272,7 @@
     const now = performance.now();
     const isUnresponsive = this.#head === undefined &&
       now - this.#sentAt >= UNRESPONSIVE_MILLISECONDS;
-    if (isUnresponsive) this.#options.upstream.health.noteFailure(now);
+    if (isUnresponsive) this.#options.upstream.health.recordFailure(now);
     this.#abandon(RESULT_CODES.CALL_TIMEOUT);
   }
 
@@ -285,26 +285,26 @@
   #recordResult(head: AnswerHead): void {
     if (head.status === GATEWAY_TIMEOUT_STATUS) return;
     if (!isServerError(head.status)) return this.#recordLatency();
-    this.#options.upstream.health.noteFailure(performance.now());
+    this.#options.upstream.health.recordFailure(performance.now());
   }
 
   #recordLatency(): void {
     const now = performance.now();
-    this.#options.upstream.health.noteTime(now - this.#sentAt, now);
+    this.#options.upstream.health.recordTime(now - this.#sentAt, now);
   }
 
   #recordNotRun(error: CodedError): void {
     const { upstream } = this.#options;
     this.#notRun = error;
     if (error.code === RESULT_CODES.NO_UPSTREAM) upstream.retire();
-    else upstream.health.noteFull(performance.now(), FULL_BACKOFF_MILLISECONDS);
+    else upstream.health.markFull(performance.now(), FULL_BACKOFF_MILLISECONDS);
   }
 
   #recordKeepAlive(head: AnswerHead): void {
     const keepAlive = findHeader(head.headers, "keep-alive") ?? "";
     const seconds = /timeout=(\d+)/.exec(keepAlive)?.[1];
     if (seconds !== undefined) {
-      this.#connection.restMilliseconds = Number(seconds) * 1_000;
+      this.#connection.idleTimeoutMilliseconds = Number(seconds) * 1_000;
     }
   }
 }
--- a/packages/gateway/src/calls/run_call_attempt.ts
+++ b/packages/gateway/src/calls/run_call_attempt.ts
@@ -49,8 +49,8 @@
   const { parts, options, now } = details;
   const { head, facts, route, table, workspace } = call.parts;
   const remaining = call.findRemainingMilliseconds(now);
-  call.story.sends++;
-  parts.prompts.note(facts.promptParts, upstream.instance.id);
+  call.summary.sends++;
+  parts.promptMemory.record(facts.promptParts, upstream.instance.id);
   return await runAttempt({
     upstream,
     callId: facts.callId,
@@ -66,7 +66,7 @@
       : parts.settings.silentMilliseconds,
     events: options.events,
     body: new BodyRelay(call),
-    findRefusal: (now) => parts.gate.findRefusal(call, now),
+    findRefusal: (now) => parts.sendGate.findRefusal(call, now),
     request: {
       method: head.method,
       target: head.target,
@@ -97,7 +97,7 @@
   parts: CallDependencies,
   now: number,
 ): number {
-  const typicalMilliseconds = parts.upstreams.findTypical(
+  const typicalMilliseconds = parts.upstreams.findMedianTime(
     call.parts.service,
     now,
   );
--- a/packages/gateway/src/calls/run_plain_call.ts
+++ b/packages/gateway/src/calls/run_plain_call.ts
@@ -36,7 +36,7 @@
   const { error, notRun } = failure;
   call.recordFailure(error);
   if (call.hasCallerLeft) return;
-  if (call.parts.response.headersSent) return call.breakOff();
+  if (call.parts.response.headersSent) return call.disconnect();
   // A code that guarantees "not run" may be sent only if nothing was run.
   const promisesNotRun = error.code.notRun;
   const code = notRun === promisesNotRun
--- a/packages/gateway/src/calls/run_turn.ts
+++ b/packages/gateway/src/calls/run_turn.ts
@@ -4,13 +4,13 @@
 import { performance } from "node:perf_hooks";
 import {
   type BeginTurn,
+  type BeginTurnReply,
   type CodedError,
   countRefusal,
   type EndTurn,
-  type KeptTurn,
   type Outcome,
   RESULT_CODES,
-  type TurnBegun,
+  type TurnRecord,
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
 import { dropHopHeaders } from "../http/headers.ts";
@@ -32,7 +32,7 @@
 const SETTLE_TIMEOUT_MILLISECONDS = 10_000;
 
 /** Dependencies of turns in addition to those of all calls. */
-export interface TurnParts extends CallDependencies {
+export interface TurnDependencies extends CallDependencies {
   readonly client: SiteClient;
   readonly permits: PermitPool;
   readonly cache: TurnCache;
@@ -41,13 +41,16 @@
 /** What the stores returned for a turn that has begun. */
 interface BegunTurn {
   /** The chain of earlier turns that this one continues, oldest first. */
-  readonly chain: readonly KeptTurn[];
+  readonly chain: readonly TurnRecord[];
   /** Upstream that ran the program last; empty if unknown. */
   readonly latestUpstream: string;
 }
 
 /** Runs a turn and answers its caller. */
-export async function runTurn(call: OpenCall, parts: TurnParts): Promise<void> {
+export async function runTurn(
+  call: OpenCall,
+  parts: TurnDependencies,
+): Promise<void> {
   const begun = await beginTurn(call, parts);
   if (begun.err) return refuseTurn(call, parts, begun.val);
   const { chain, latestUpstream } = begun.val;
@@ -96,7 +99,7 @@
 /** Reserves the turn's tokens and fetches its history. */
 async function beginTurn(
   call: OpenCall,
-  parts: TurnParts,
+  parts: TurnDependencies,
 ): Promise<Outcome<BegunTurn>> {
   const { cache } = parts;
   const { programId, previousId } = findTurnIds(call);
@@ -109,7 +112,7 @@
   const { turns, latestUpstream = "", isCharged } = begun.val;
   // A retry inside the client may be what was answered, so the permit's
   // validity counts from the first request.
-  if (isCharged === true) parts.gate.grantPermit(call, requestedAt);
+  if (isCharged === true) parts.sendGate.grantPermit(call, requestedAt);
   for (const turn of turns) cache.put(turn, programId);
   const chain = cache.listChain(previousId);
   if (chain !== undefined) return Ok({ chain, latestUpstream });
@@ -126,13 +129,13 @@
 /** Asks the stores to begin a turn; the request is idempotent. */
 async function requestBegin(
   call: OpenCall,
-  parts: TurnParts,
+  parts: TurnDependencies,
   cached: Pick<BeginTurn, "missingFrom" | "knownTurns">,
-): Promise<Outcome<TurnBegun>> {
+): Promise<Outcome<BeginTurnReply>> {
   const { facts } = call.parts;
   const { client, settings } = parts;
   const remaining = call.findRemainingMilliseconds(performance.now());
-  const quota = parts.gate.findQuota(call);
+  const quota = parts.sendGate.findQuota(call);
   return await client.call(
     "turns.begin",
     {
@@ -148,7 +151,7 @@
 
 function refuseTurn(
   call: OpenCall,
-  parts: TurnParts,
+  parts: TurnDependencies,
   error: CodedError,
 ): void {
   const { code } = error;
@@ -192,7 +195,7 @@
  */
 function refuseOverload(
   call: OpenCall,
-  parts: TurnParts,
+  parts: TurnDependencies,
   error: CodedError,
 ): void {
   const pause = error.retryAfterMilliseconds ?? NO_LEADER_RETRY_MILLISECONDS;
@@ -209,14 +212,14 @@
 /** Stores the turn before its caller receives the end of the answer. */
 async function endTurn(
   call: OpenCall,
-  parts: TurnParts,
+  parts: TurnDependencies,
   details: { readonly relay: EventRelay; readonly upstream: string },
 ): Promise<void> {
   const { relay, upstream } = details;
   const { facts, body } = call.parts;
   const output = relay.joinData();
   const requestedAt = performance.now();
-  const quota = parts.gate.findQuota(call);
+  const quota = parts.sendGate.findQuota(call);
   // Many turns are followed by tool calls, whose permits are requested with
   // this message instead of one of their own.
   const charge = quota === undefined
@@ -243,7 +246,7 @@
       reason: ended.val.code.name,
       leader: parts.client.leader ?? "",
     });
-    return call.breakOff();
+    return call.disconnect();
   }
   const { permits: count = 0 } = ended.val;
   if (quota !== undefined) parts.permits.add(quota, { count, requestedAt });
@@ -256,7 +259,7 @@
 /** Settles the tokens of a turn that is not stored, in the background. */
 function settleTurn(
   call: OpenCall,
-  parts: TurnParts,
+  parts: TurnDependencies,
   details: { readonly events: number; readonly upstream?: string },
 ): void {
   const turn: EndTurn = {
--- a/packages/gateway/src/calls/send_call.ts
+++ b/packages/gateway/src/calls/send_call.ts
@@ -69,7 +69,7 @@
       await sleep(ALL_FULL_DELAY_MILLISECONDS, call.signal);
       continue;
     }
-    const refusal = await parts.gate.admit(call);
+    const refusal = await parts.sendGate.admit(call);
     if (refusal !== undefined) {
       lastError = refusal;
       break;
@@ -82,7 +82,7 @@
       now: performance.now(),
       isLast,
     });
-    call.story.upstream = upstream.instance.id;
+    call.summary.upstream = upstream.instance.id;
     if (result.kind !== "not_run") call.consumePermit();
     if (result.kind === "whole" && isDeliverable(result, call)) {
       const sentAnswer = { answer: result, upstream: upstream.instance.id };
@@ -153,9 +153,9 @@
     outcome: kind,
     code: error.code.name,
     reason: error.message,
-    send: call.story.sends,
+    send: call.summary.sends,
     running: upstream.running,
-    list_age_ms: Math.round(parts.findListAge(now)),
+    list_age_ms: Math.round(parts.findListAgeMilliseconds(now)),
     left_ms: Math.round(call.findRemainingMilliseconds(now)),
   });
 }
@@ -183,7 +183,7 @@
   return parts.upstreams.choose({
     service,
     tried: details.tried,
-    preferredId: preferredId || parts.prompts.find(facts.promptParts) ||
+    preferredId: preferredId || parts.promptMemory.find(facts.promptParts) ||
       fallbackId,
     objectKey: route.prefersSameUpstream ? facts.objectKey : "",
     isRepeatable: isRepeatable(route),
--- a/packages/gateway/src/calls/send_gate.ts
+++ b/packages/gateway/src/calls/send_gate.ts
@@ -4,7 +4,7 @@
 import { type CodedError, RESULT_CODES } from "@mallowlift/core";
 import type { PermitPool } from "../quotas/permit_pool.ts";
 import {
-  findQuota,
+  findWorkspaceQuota,
   type QuotaTerms,
   type WorkspaceQuota,
 } from "../quotas/quota_bound.ts";
@@ -40,7 +40,10 @@
     const { workspace, table } = call.parts;
     if (workspace === undefined) return undefined;
     const { version } = table.document;
-    return findQuota(workspace, { version, terms: this.#options.terms });
+    return findWorkspaceQuota(workspace, {
+      version,
+      terms: this.#options.terms,
+    });
   }
 
   /** Stores a permit for the call's next send; its lifetime began when it was requested. */
--- a/packages/gateway/src/calls/turn_cache.ts
+++ b/packages/gateway/src/calls/turn_cache.ts
@@ -1,7 +1,7 @@
 /** Caches recent turns, so that their contents need not be fetched from the stores. */
 
 import { Buffer } from "node:buffer";
-import type { KeptTurn } from "@mallowlift/core";
+import type { TurnRecord } from "@mallowlift/core";
 
 /** Approximate memory of a turn in addition to its input and output, bytes. */
 const TURN_OVERHEAD_BYTES = 400;
@@ -10,7 +10,7 @@
 const MAX_KNOWN_TURNS = 8;
 
 interface CachedTurn {
-  readonly turn: KeptTurn;
+  readonly turn: TurnRecord;
   readonly programId: string;
 }
 
@@ -36,7 +36,7 @@
   }
 
   /** Adds a turn and evicts the least recently used ones above the size limit. */
-  put(turn: KeptTurn, programId: string): void {
+  put(turn: TurnRecord, programId: string): void {
     if (this.#turns.has(turn.turnId)) return;
     this.#turns.set(turn.turnId, { turn, programId });
     const programTurns = this.#byProgram.get(programId);
@@ -70,8 +70,8 @@
   }
 
   /** A turn and all turns before it, oldest first; undefined if one is missing. */
-  listChain(turnId: string): readonly KeptTurn[] | undefined {
-    const chain: KeptTurn[] = [];
+  listChain(turnId: string): readonly TurnRecord[] | undefined {
+    const chain: TurnRecord[] = [];
     let next = turnId;
     while (next !== "") {
       const cached = this.#turns.get(next);
@@ -95,7 +95,7 @@
 
 /** The prompt of a turn: all inputs and outputs before it, then its own input. */
 export function joinPrompt(
-  chain: readonly KeptTurn[],
+  chain: readonly TurnRecord[],
   input: Buffer,
 ): Buffer {
   const parts: Uint8Array[] = [];
@@ -104,6 +104,6 @@
   return Buffer.concat(parts);
 }
 
-function measureBytes(turn: KeptTurn): number {
+function measureBytes(turn: TurnRecord): number {
   return turn.input.length + turn.output.length + TURN_OVERHEAD_BYTES;
 }
--- a/packages/gateway/src/calls/turn_cache_test.ts
+++ b/packages/gateway/src/calls/turn_cache_test.ts
@@ -1,11 +1,11 @@
 import { Buffer } from "node:buffer";
-import type { KeptTurn } from "@mallowlift/core";
+import type { TurnRecord } from "@mallowlift/core";
 import { test } from "tap";
 import { TurnCache } from "./turn_cache.ts";
 
 const SIZE = 1_000;
 
-function createTurn(turnId: string, previousId = ""): KeptTurn {
+function createTurn(turnId: string, previousId = ""): TurnRecord {
   const input = Buffer.alloc(SIZE);
   return {
     turnId,
--- a/packages/gateway/src/dialect.ts
+++ b/packages/gateway/src/dialect.ts
@@ -9,7 +9,7 @@
   DocumentAck,
   DocumentSource,
   Outcome,
-  RetireState,
+  RetirementStatus,
   RoutingDocument,
 } from "@mallowlift/core";
 
@@ -32,7 +32,7 @@
   /** Unique id of this attempt of the caller. */
   readonly callId: string;
   /** Time that the caller waits for the answer, ms; Infinity if not given. */
-  readonly patienceMilliseconds: number;
+  readonly callerTimeoutMilliseconds: number;
   /** Program that the request belongs to; empty if none. */
   readonly programId: string;
   /** Id of the turn that this turn continues; empty for the first turn. */
@@ -85,13 +85,13 @@
   /** True if the upstream guarantees that it has not run the request. */
   readonly notRun: boolean;
   /** True if the answer comes from another instance than the requested one. */
-  readonly isOtherInstance: boolean;
+  readonly isWrongInstance: boolean;
   /** False if a successful answer lacks the marks that every upstream sets. */
   readonly isGenuine: boolean;
 }
 
 /** An answer that the gateway itself creates. */
-export interface OwnAnswer {
+export interface GatewayAnswer {
   readonly status: number;
   readonly headers: RawHeaders;
   readonly body: string;
@@ -106,13 +106,13 @@
   /** Reads the details of an upstream's answer. */
   readAnswer(head: AnswerHead): AnswerFacts;
   /** Creates the answer for a refusal or a failure. */
-  writeFailure(error: CodedError): OwnAnswer;
+  writeFailure(error: CodedError): GatewayAnswer;
 }
 
 /** Actions that operators can take. */
 export interface OperatorActions {
   /** Largest accepted size of a document's source, bytes. */
-  readonly mostDocumentBytes: number;
+  readonly maxDocumentBytes: number;
   /** Checks a document and puts it in force. */
   replace(
     document: RoutingDocument,
@@ -125,7 +125,7 @@
   /** Starts to retire a store, so that it can be removed. */
   retire(name: string): Promise<Outcome<unknown>>;
   /** Returns the progress of a store's retirement. */
-  describeRetirement(name: string): Promise<Outcome<RetireState>>;
+  describeRetirement(name: string): Promise<Outcome<RetirementStatus>>;
 }
 
 /** Defines the HTTP routes for operators. */
--- a/packages/gateway/src/gateway_role.ts
+++ b/packages/gateway/src/gateway_role.ts
@@ -20,7 +20,7 @@
 import type { OpenCall } from "./calls/open_call.ts";
 import { runPlainCall } from "./calls/run_plain_call.ts";
 import { ProgramUrgency } from "./calls/program_urgency.ts";
-import { runTurn, type TurnParts } from "./calls/run_turn.ts";
+import { runTurn, type TurnDependencies } from "./calls/run_turn.ts";
 import { SendGate } from "./calls/send_gate.ts";
 import { TurnCache } from "./calls/turn_cache.ts";
 import type { CallerDialect, OperatorDialect } from "./dialect.ts";
@@ -30,7 +30,7 @@
   SiteOperations,
 } from "./operators/operator_server.ts";
 import { PermitPool } from "./quotas/permit_pool.ts";
-import { ExpectedSpare } from "./quotas/spare_policy.ts";
+import { DemandSparePolicy } from "./quotas/spare_policy.ts";
 import { InstanceListFollower } from "./site/instance_list_follower.ts";
 import { SiteClient } from "./site/site_client.ts";
 import { SiteFollower } from "./site/site_follower.ts";
@@ -75,7 +75,7 @@
   readonly #admission: KeyAdmission;
   readonly #callerServer: CallerServer;
   readonly #operatorServer: Server;
-  readonly #parts: TurnParts;
+  readonly #parts: TurnDependencies;
   #wasReady = false;
   #cleanupTimer: NodeJS.Timeout | undefined;
   #gateways = { count: 1, at: -Infinity };
@@ -107,17 +107,18 @@
     this.#admission = new KeyAdmission({
       getRoutes: () => this.#follower.routes,
       isNewest: (now) => this.#follower.isNewest(now),
-      findConfirmationAge: (now) => this.#follower.findConfirmationAge(now),
-      waitForNews: (limit) => this.#follower.waitForUpdate(limit),
+      findConfirmationAgeMilliseconds: (now) =>
+        this.#follower.findConfirmationAge(now),
+      waitForUpdate: (limit) => this.#follower.waitForUpdate(limit),
       waitMilliseconds: gateway.leaderWaitMilliseconds,
       revocationMilliseconds: gateway.revocationMilliseconds,
     });
     const permits = new PermitPool({
       name: `${settings.daemon.name} ${randomUUID()}`,
       client,
-      policy: new ExpectedSpare(),
+      policy: new DemandSparePolicy(),
       clock: () => performance.now(),
-      wait: (milliseconds) => sleep(milliseconds),
+      sleep: (milliseconds) => sleep(milliseconds),
       random,
       metrics,
     });
@@ -125,9 +126,9 @@
       settings: gateway,
       dialect: options.callerDialect,
       upstreams: this.#upstreams,
-      prompts: new PromptMemory(),
+      promptMemory: new PromptMemory(),
       urgency: new ProgramUrgency(),
-      gate: new SendGate({
+      sendGate: new SendGate({
         admission: this.#admission,
         permits,
         terms: {
@@ -142,7 +143,7 @@
       metrics,
       countGateways: () => this.#countGateways(performance.now()),
       random,
-      findListAge: (now) => this.#instanceLists.findAge(now),
+      findListAgeMilliseconds: (now) => this.#instanceLists.findAge(now),
       client,
       cache: new TurnCache(gateway.historyBytes),
     };
@@ -171,7 +172,7 @@
     const now = performance.now();
     const { staleMilliseconds } = this.#options.settings.gateway;
     const sinceReply = this.#follower.findTimeSinceReply(now);
-    const isReady = this.#admission.acceptsKeys(now) &&
+    const isReady = this.#admission.areKeysAccepted(now) &&
       sinceReply < staleMilliseconds;
     if (isReady !== this.#wasReady) {
       this.#wasReady = isReady;
--- a/packages/gateway/src/http/caller_server.ts
+++ b/packages/gateway/src/http/caller_server.ts
@@ -27,14 +27,14 @@
 } from "@mallowlift/core";
 import { parseAddress } from "@mallowlift/transport";
 import { Ok } from "ts-results";
-import { OpenCall, writeOwnAnswer } from "../calls/open_call.ts";
+import { OpenCall, writeGatewayAnswer } from "../calls/open_call.ts";
 import type { CallerDialect } from "../dialect.ts";
 import { chooseService, type RouteTable } from "../routing/route_table.ts";
 import {
   type Admission,
   describeRequest,
   type KeyAdmission,
-  STALE_MILLISECONDS,
+  STALE_RETRY_MILLISECONDS,
 } from "../workspaces/key_admission.ts";
 import { WorkspaceFailures } from "../workspaces/workspace_failures.ts";
 import { readBody } from "./read_body.ts";
@@ -100,7 +100,7 @@
     const { listen, heldPort } = this.#options;
     const held = heldPort ?? await HeldPort.open(parseAddress(listen));
     const { waiting, port } = held;
-    await held.adopt(this.#server);
+    await held.handOver(this.#server);
     if (waiting > 0) {
       this.#options.logger.info("Connections accepted before the start", {
         connections: waiting,
@@ -155,7 +155,7 @@
     } catch (thrown) {
       const message = thrown instanceof Error ? thrown.stack : String(thrown);
       this.#options.logger.error("Call failed", { message });
-      call.val.breakOff();
+      call.val.disconnect();
     }
     call.val.close();
     this.#noteEnd(call.val);
@@ -204,7 +204,7 @@
       return fail(
         RESULT_CODES.OVERLOADED,
         RESULT_CODES.OVERLOADED.meaning,
-        STALE_MILLISECONDS,
+        STALE_RETRY_MILLISECONDS,
       );
     }
     const head = {
@@ -259,13 +259,13 @@
     if (error.code === RESULT_CODES.BODY_TOO_LARGE) {
       response.setHeader("Connection", "close");
     }
-    writeOwnAnswer(response, dialect.writeFailure(error));
+    writeGatewayAnswer(response, dialect.writeFailure(error));
   }
 
   #noteEnd(call: OpenCall): void {
     const { logger, metrics } = this.#options;
     const { facts, route, table, workspace, arrivedAt } = call.parts;
-    const { status, code, upstream, sends, events } = call.story;
+    const { status, code, upstream, sends, events } = call.summary;
     const milliseconds = Math.round(performance.now() - arrivedAt);
     metrics.calls.inc({ kind: route.kind, code });
     metrics.callSeconds.observe({ kind: route.kind }, milliseconds / 1_000);
--- a/packages/gateway/src/native_dialect.ts
+++ b/packages/gateway/src/native_dialect.ts
@@ -17,9 +17,9 @@
   CallerDialect,
   CallFacts,
   CallHead,
+  GatewayAnswer,
   OperatorActions,
   OperatorDialect,
-  OwnAnswer,
   RawHeaders,
 } from "./dialect.ts";
 import { dropHopHeaders, findHeader } from "./http/headers.ts";
@@ -76,7 +76,7 @@
     const finish = read(NATIVE_HEADERS.FINISH);
     return Ok({
       callId,
-      patienceMilliseconds: timeout === "" ? Infinity : Number(timeout),
+      callerTimeoutMilliseconds: timeout === "" ? Infinity : Number(timeout),
       programId: read(NATIVE_HEADERS.PROGRAM),
       previousTurnId: read(NATIVE_HEADERS.PREVIOUS),
       tokenBudget: budget === "" ? -1 : Number(budget),
@@ -114,13 +114,13 @@
     return {
       callId: findHeader(head.headers, NATIVE_HEADERS.CALL),
       notRun: findHeader(head.headers, NATIVE_HEADERS.NOT_RUN) !== undefined,
-      isOtherInstance: head.status === MISDIRECTED,
+      isWrongInstance: head.status === MISDIRECTED,
       isGenuine: true,
     };
   }
 
   /** Writes the result code and whether the request was not run. */
-  writeFailure(error: CodedError): OwnAnswer {
+  writeFailure(error: CodedError): GatewayAnswer {
     const { code, message, retryAfterMilliseconds } = error;
     const headers = ["Content-Type", "application/json"];
     if (retryAfterMilliseconds !== undefined) {
@@ -153,7 +153,7 @@
       method: "PUT",
       path: "/v1/routing",
       options: {
-        payload: { parse: false, maxBytes: actions.mostDocumentBytes },
+        payload: { parse: false, maxBytes: actions.maxDocumentBytes },
       },
       handler: async (request, toolkit) => {
         const source = request.payload as Uint8Array;
--- a/packages/gateway/src/operators/operator_server.ts
+++ b/packages/gateway/src/operators/operator_server.ts
@@ -9,7 +9,7 @@
   fail,
   type Outcome,
   RESULT_CODES,
-  type RetireState,
+  type RetirementStatus,
   type RoutingDocument,
 } from "@mallowlift/core";
 import {
@@ -33,12 +33,12 @@
 
 /** Executes the actions of operators at the leader of the stores. */
 export class SiteOperations implements OperatorActions {
-  readonly mostDocumentBytes: number;
+  readonly maxDocumentBytes: number;
   readonly #client: SiteClient;
 
   constructor(client: SiteClient, mostDocumentBytes: number) {
     this.#client = client;
-    this.mostDocumentBytes = mostDocumentBytes;
+    this.maxDocumentBytes = mostDocumentBytes;
   }
 
   /** Checks the whole document and puts it in force. */
@@ -87,7 +87,7 @@
   }
 
   /** Returns the progress of a store's retirement. */
-  async describeRetirement(name: string): Promise<Outcome<RetireState>> {
+  async describeRetirement(name: string): Promise<Outcome<RetirementStatus>> {
     return await this.#client.call(
       "site.retirement",
       { name },
--- a/packages/gateway/src/quotas/permit_pool.ts
+++ b/packages/gateway/src/quotas/permit_pool.ts
@@ -44,7 +44,7 @@
   /** The local clock, ms. */
   readonly clock: () => number;
   /** Resolves after a duration by that clock, ms. */
-  readonly wait: (milliseconds: number) => Promise<void>;
+  readonly sleep: (milliseconds: number) => Promise<void>;
   /** Returns a number from 0 up to but not including 1. */
   readonly random: () => number;
   readonly metrics: Metrics;
@@ -188,7 +188,7 @@
       else if (waiter.until > now) this.#waiting.push(waiter);
       else waiter.done.resolve(this.#refuseWith(NO_LEADER));
     }
-    if (!isRefused) await this.#options.wait(RETRY_DELAY_MILLISECONDS);
+    if (!isRefused) await this.#options.sleep(RETRY_DELAY_MILLISECONDS);
   }
 
   #distribute(
--- a/packages/gateway/src/quotas/permit_pool_test.ts
+++ b/packages/gateway/src/quotas/permit_pool_test.ts
@@ -3,19 +3,19 @@
   createMetrics,
   fail,
   type Outcome,
-  type PermitsTaken,
   RESULT_CODES,
   sleep,
   type TakePermits,
+  type TakePermitsReply,
 } from "@mallowlift/core";
 import { test } from "tap";
 import { Ok } from "ts-results";
 import { PermitPool } from "./permit_pool.ts";
-import { findQuota, type WorkspaceQuota } from "./quota_bound.ts";
-import { NoSpare, type SparePolicy } from "./spare_policy.ts";
+import { findWorkspaceQuota, type WorkspaceQuota } from "./quota_bound.ts";
+import { NoSparePolicy, type SparePolicy } from "./spare_policy.ts";
 
 function createQuota(name: string): WorkspaceQuota {
-  const quota = findQuota(
+  const quota = findWorkspaceQuota(
     { name, keyDigests: [], ratePerSecond: 10, burst: 10 },
     { version: 1, terms: { windowSeconds: 5, overage: 0, slack: 0 } },
   );
@@ -29,8 +29,8 @@
 
 /** Creates a pool whose leader is replaced by a function. */
 function createPool(
-  answer: (request: TakePermits) => Promise<Outcome<PermitsTaken>>,
-  policy: SparePolicy = new NoSpare(),
+  answer: (request: TakePermits) => Promise<Outcome<TakePermitsReply>>,
+  policy: SparePolicy = new NoSparePolicy(),
 ) {
   const asked: TakePermits[] = [];
   const call = (_name: string, request: TakePermits) => {
@@ -42,7 +42,7 @@
     client: { call: call as never },
     policy,
     clock: () => performance.now(),
-    wait: (milliseconds) => sleep(milliseconds),
+    sleep: (milliseconds) => sleep(milliseconds),
     random: () => 0,
     metrics: createMetrics(),
   });
@@ -50,7 +50,9 @@
 }
 
 /** Grants all permits that are requested. */
-function grantAll({ charges }: TakePermits): Promise<Outcome<PermitsTaken>> {
+function grantAll(
+  { charges }: TakePermits,
+): Promise<Outcome<TakePermitsReply>> {
   const grants = charges.map(({ needed, spare }) => ({
     granted: needed + spare,
     retryAfterMilliseconds: 0,
--- a/packages/gateway/src/quotas/quota_bound.ts
+++ b/packages/gateway/src/quotas/quota_bound.ts
@@ -1,6 +1,6 @@
 /** Converts the quota of a workspace into a bound on the permits that it gets. */
 
-import type { QuotaBound, Workspace } from "@mallowlift/core";
+import type { QuotaLimit, Workspace } from "@mallowlift/core";
 
 /** Shortest and longest lifetime of a permit, ms. */
 const PERMIT_LIFETIME_MILLISECONDS = { min: 250, max: 500 };
@@ -19,7 +19,7 @@
 
 /** The bound of a workspace and the lifetime of its permits. */
 export interface WorkspaceQuota {
-  readonly bound: QuotaBound;
+  readonly bound: QuotaLimit;
   /** Lifetime of a permit, counted from when it was requested, ms. */
   readonly permitLifetimeMilliseconds: number;
 }
@@ -38,10 +38,10 @@
  * ```ts
  * const workspace = { name: "north", keyDigests: [], ratePerSecond: 10, burst: 10 };
  * const terms = { windowSeconds: 5, overage: 0.1, slack: 20 };
- * findQuota(workspace, { version: 7, terms })?.bound.most; // 76
+ * findWorkspaceQuota(workspace, { version: 7, terms })?.bound.most; // 76
  * ```
  */
-export function findQuota(
+export function findWorkspaceQuota(
   workspace: Workspace,
   options: { readonly version: number; readonly terms: QuotaTerms },
 ): WorkspaceQuota | undefined {
--- a/packages/gateway/src/quotas/quota_bound_test.ts
+++ b/packages/gateway/src/quotas/quota_bound_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { test } from "tap";
-import { findQuota } from "./quota_bound.ts";
+import { findWorkspaceQuota } from "./quota_bound.ts";
 
 const SEED = 1;
 const TERMS = { windowSeconds: 5, overage: 0.1, slack: 20 };
@@ -11,7 +11,7 @@
 
 test("a workspace without a rate has no quota", (t) => {
   const options = { version: 1, terms: TERMS };
-  t.equal(findQuota(createWorkspace(0, 100), options), undefined);
+  t.equal(findWorkspaceQuota(createWorkspace(0, 100), options), undefined);
   t.end();
 });
 
@@ -22,7 +22,10 @@
       fc.integer({ min: 0, max: 500 }),
       (rate, burst) => {
         const workspace = createWorkspace(rate, burst);
-        const quota = findQuota(workspace, { version: 1, terms: TERMS });
+        const quota = findWorkspaceQuota(workspace, {
+          version: 1,
+          terms: TERMS,
+        });
         if (quota === undefined) return false;
         const { most, spanMilliseconds } = quota.bound;
         const allowed = (rate * 5 + burst) * 1.1 + 20;
@@ -38,7 +41,10 @@
 
 test("without slack and overage a permit has the shortest lifetime", (t) => {
   const terms = { windowSeconds: 5, overage: 0, slack: 0 };
-  const quota = findQuota(createWorkspace(2, 0), { version: 1, terms });
+  const quota = findWorkspaceQuota(createWorkspace(2, 0), {
+    version: 1,
+    terms,
+  });
   t.equal(quota?.bound.most, 10);
   t.equal(quota?.permitLifetimeMilliseconds, 250);
   t.end();
--- a/packages/gateway/src/quotas/spare_policy.ts
+++ b/packages/gateway/src/quotas/spare_policy.ts
@@ -17,7 +17,7 @@
 }
 
 /** Requests no spare permits: each request is charged when it arrives. */
-export class NoSpare implements SparePolicy {
+export class NoSparePolicy implements SparePolicy {
   /** Does nothing. */
   recordRequest(): void {}
 
@@ -38,7 +38,7 @@
 }
 
 /** Requests as many spare permits as are expected to be used while valid. */
-export class ExpectedSpare implements SparePolicy {
+export class DemandSparePolicy implements SparePolicy {
   readonly #demands = new Map<string, Demand>();
 
   /** Adds a request to the demand of its workspace. */
--- a/packages/gateway/src/site/document_follower.ts
+++ b/packages/gateway/src/site/document_follower.ts
@@ -3,11 +3,11 @@
 import { performance } from "node:perf_hooks";
 import {
   ABORTED,
-  describeThrown,
   DOCUMENT_FORMS,
   type Logger,
   type RoutingDocument,
   sleep,
+  toCodedError,
   WakeSignal,
 } from "@mallowlift/core";
 import { unpackRouting } from "@mallowlift/sessions";
@@ -108,7 +108,7 @@
         milliseconds: Math.round(performance.now() - startedAt),
       });
     } catch (thrown) {
-      const { message } = describeThrown(thrown);
+      const { message } = toCodedError(thrown);
       this.#logger.error("Document could not be unpacked", {
         version,
         message,
--- a/packages/gateway/src/site/document_transfer.ts
+++ b/packages/gateway/src/site/document_transfer.ts
@@ -9,13 +9,13 @@
 import { Buffer } from "node:buffer";
 import { performance } from "node:perf_hooks";
 import {
+  computeMessageBytes,
   type DocumentAck,
   type DocumentForm,
   type DocumentPart,
   fail,
-  findMessageBytes,
   hashBytes,
-  LEAST_MESSAGE_BYTES,
+  MIN_MESSAGE_BYTES,
   type Outcome,
   type PackedDocument,
   RESULT_CODES,
@@ -49,7 +49,7 @@
   const { version, bytes, routingBytes } = document;
   const digest = hashBytes(bytes);
   const totalBytes = bytes.length;
-  let size = LEAST_MESSAGE_BYTES;
+  let size = MIN_MESSAGE_BYTES;
   let heldBytes = 0;
   for (let stalledAnswers = 0; stalledAnswers < MAX_STALLED_ANSWERS;) {
     const part = bytes.subarray(heldBytes, heldBytes + size);
@@ -65,7 +65,7 @@
     if (reply.err) return reply;
     if (reply.val.version >= version) return Ok({ version: reply.val.version });
     const milliseconds = performance.now() - sentAt;
-    size = findMessageBytes(size, { sent: part.length, milliseconds });
+    size = computeMessageBytes(size, { sent: part.length, milliseconds });
     stalledAnswers = reply.val.heldBytes > heldBytes ? 0 : stalledAnswers + 1;
     heldBytes = reply.val.heldBytes;
   }
@@ -99,7 +99,7 @@
   options: ReadDocumentOptions,
 ): Promise<DocumentBytes | undefined> {
   const partial = new PartialDocument(options.version);
-  let mostBytes = LEAST_MESSAGE_BYTES;
+  let mostBytes = MIN_MESSAGE_BYTES;
   while (!options.isCancelled()) {
     const { version, offset } = partial;
     const sentAt = performance.now();
@@ -110,7 +110,7 @@
     );
     const milliseconds = performance.now() - sentAt;
     const sent = reply.ok ? reply.val.part.length : mostBytes;
-    mostBytes = findMessageBytes(mostBytes, { sent, milliseconds });
+    mostBytes = computeMessageBytes(mostBytes, { sent, milliseconds });
     // A leader that has been replaced may not have the version.
     if (reply.err || reply.val.version < version) {
       await sleep(RETRY_MILLISECONDS);
--- a/packages/gateway/src/site/instance_list_follower.ts
+++ b/packages/gateway/src/site/instance_list_follower.ts
@@ -7,13 +7,13 @@
 import {
   ABORTED,
   type Child,
-  describeThrown,
   hashText,
   type InstanceListReply,
   type InstanceUpdate,
   type Logger,
   type Metrics,
   sleep,
+  toCodedError,
 } from "@mallowlift/core";
 import {
   applyUpdate,
@@ -119,7 +119,7 @@
     try {
       return unpackUpdate(update);
     } catch (thrown) {
-      const { message } = describeThrown(thrown);
+      const { message } = toCodedError(thrown);
       this.#options.logger.error("Instance list could not be unpacked", {
         message,
       });
--- a/packages/gateway/src/upstreams/failing_upstreams_test.ts
+++ b/packages/gateway/src/upstreams/failing_upstreams_test.ts
@@ -69,9 +69,9 @@
   },
 ): void {
   upstream.running--;
-  upstream.health.noteHeard(call.request);
-  if (call.hasFailed) return upstream.health.noteFailure(call.at);
-  upstream.health.noteTime(ANSWER_MILLISECONDS, call.at);
+  upstream.health.recordSettled(call.request);
+  if (call.hasFailed) return upstream.health.recordFailure(call.at);
+  upstream.health.recordTime(ANSWER_MILLISECONDS, call.at);
 }
 
 /** Simulates the calls of one gateway; failed calls are not retried. */
@@ -114,7 +114,7 @@
       : CALL_TIMEOUT_MILLISECONDS;
     const request = {};
     upstream.running++;
-    upstream.health.noteSent(request, now);
+    upstream.health.recordSent(request, now);
     const at = now + durationMilliseconds;
     scheduledEnds.push({
       at,
@@ -145,7 +145,7 @@
 test("all upstreams are tried when most of them seem to have failed", (t) => {
   const table = new UpstreamTable(() => 0.5, "d");
   table.update(createInstances());
-  for (const upstream of table.list()) upstream.health.noteFailure(0);
+  for (const upstream of table.list()) upstream.health.recordFailure(0);
   const options = {
     service: "s",
     tried: new Set<string>(),
@@ -163,7 +163,7 @@
   const table = new UpstreamTable(() => 0.5, "d");
   table.update(createInstances());
   const first = [...table.list()][0];
-  first?.health.noteFailure(0);
+  first?.health.recordFailure(0);
   const chosen = table.choose({
     service: "s",
     tried: new Set(),
--- a/packages/gateway/src/upstreams/prompt_memory.ts
+++ b/packages/gateway/src/upstreams/prompt_memory.ts
@@ -30,7 +30,7 @@
  * @example
  * ```ts
  * const memory = new PromptMemory();
- * memory.note([{ id: "a", tokens: 500 }], "upstream-1");
+ * memory.record([{ id: "a", tokens: 500 }], "upstream-1");
  * memory.find([{ id: "a", tokens: 500 }, { id: "b", tokens: 20 }]); // "upstream-1"
  * ```
  */
@@ -39,7 +39,7 @@
   readonly #holders = new Map<string, readonly string[]>();
 
   /** Records that a prompt was sent to an upstream. */
-  note(parts: readonly PromptPart[], upstreamId: string): void {
+  record(parts: readonly PromptPart[], upstreamId: string): void {
     for (const { id } of parts) {
       const known = this.#holders.get(id) ?? [];
       this.#holders.delete(id);
--- a/packages/gateway/src/upstreams/prompt_memory_test.ts
+++ b/packages/gateway/src/upstreams/prompt_memory_test.ts
@@ -7,10 +7,10 @@
 
 test("a next turn and a helper prefer the upstream that has their prompt", (t) => {
   const memory = new PromptMemory();
-  memory.note(createParts("shared", "a1"), "u-1");
-  memory.note(createParts("shared", "b1"), "u-2");
+  memory.record(createParts("shared", "a1"), "u-1");
+  memory.record(createParts("shared", "b1"), "u-2");
   t.equal(memory.find(createParts("shared", "a1", "a2")), "u-1");
-  memory.note(createParts("shared", "a1", "a2"), "u-1");
+  memory.record(createParts("shared", "a1", "a2"), "u-1");
   t.equal(memory.find(createParts("shared", "a1", "a2", "helper")), "u-1");
   t.equal(memory.find(createParts("other")), "");
   t.end();
@@ -18,8 +18,8 @@
 
 test("the upstream that last received a prompt is preferred", (t) => {
   const memory = new PromptMemory();
-  memory.note(createParts("a1"), "u-1");
-  memory.note(createParts("a1", "a2"), "u-2");
+  memory.record(createParts("a1"), "u-1");
+  memory.record(createParts("a1", "a2"), "u-2");
   t.equal(memory.find(createParts("a1", "a2", "a3")), "u-2");
   t.end();
 });
@@ -27,7 +27,7 @@
 test("a part that most programs share does not influence the choice", (t) => {
   const memory = new PromptMemory();
   for (const upstream of ["u-1", "u-2", "u-3"]) {
-    memory.note(createParts("shared", `own-${upstream}`), upstream);
+    memory.record(createParts("shared", `own-${upstream}`), upstream);
   }
   t.equal(memory.find(createParts("shared", "new")), "");
   t.equal(memory.find(createParts("shared", "own-u-2", "new")), "u-2");
@@ -36,11 +36,11 @@
 
 test("the least recently sent parts are evicted first", (t) => {
   const memory = new PromptMemory();
-  memory.note(createParts("old"), "u-1");
-  memory.note(createParts("kept"), "u-1");
+  memory.record(createParts("old"), "u-1");
+  memory.record(createParts("kept"), "u-1");
   for (let turn = 0; turn < 8_191; turn++) {
-    memory.note(createParts(`t${turn}`), "u-2");
-    if (turn === 4_000) memory.note(createParts("kept"), "u-1");
+    memory.record(createParts(`t${turn}`), "u-2");
+    if (turn === 4_000) memory.record(createParts("kept"), "u-1");
   }
   t.equal(memory.find(createParts("old")), "");
   t.equal(memory.find(createParts("kept")), "u-1");
--- a/packages/gateway/src/upstreams/upstream.ts
+++ b/packages/gateway/src/upstreams/upstream.ts
@@ -123,7 +123,7 @@
     now: number,
   ): void {
     if (this.#isRetired || !connection.isUsable) return connection.destroy();
-    const idleTimeout = connection.restMilliseconds;
+    const idleTimeout = connection.idleTimeoutMilliseconds;
     const idleMilliseconds = idleTimeout === undefined
       ? DEFAULT_IDLE_MILLISECONDS
       : idleTimeout - IDLE_MARGIN_MILLISECONDS;
--- a/packages/gateway/src/upstreams/upstream_connection.ts
+++ b/packages/gateway/src/upstreams/upstream_connection.ts
@@ -23,16 +23,16 @@
  * Whether an answer belongs to the pending request, to another one, or cannot
  * be assigned.
  */
-export type Belonging = "own" | "other" | "spoiled";
+export type AnswerMatch = "own" | "other" | "spoiled";
 
 /** Receives the answer to one request. */
 export interface AnswerListener {
   /** Called with the head of each answer; returns whose answer it is. */
-  onHead(head: AnswerHead): Belonging;
+  onHead(head: AnswerHead): AnswerMatch;
   /** Called with each part of the body of the request's own answer. */
   onBody(bytes: Buffer): void;
   /** Called when the request's own answer is complete. */
-  onWhole(): void;
+  onComplete(): void;
   /** Called when the request cannot get a complete answer any more. */
   onFailure(code: ResultCode, message: string): void;
 }
@@ -65,7 +65,7 @@
    * Idle timeout that the upstream announces, ms; undefined if it announces
    * none.
    */
-  restMilliseconds: number | undefined;
+  idleTimeoutMilliseconds: number | undefined;
 
   private constructor(socket: Socket) {
     this.#socket = socket;
@@ -170,7 +170,7 @@
     const isReusable = mayReuse && this.#isFlushed &&
       this.#skippedAnswers === 0 && this.#isUsable;
     if (!isReusable) this.#close();
-    listener?.onWhole();
+    listener?.onComplete();
     if (isReusable) this.onIdle();
   }
 
--- a/packages/gateway/src/upstreams/upstream_connection_test.ts
+++ b/packages/gateway/src/upstreams/upstream_connection_test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from "node:net";
 import { test } from "tap";
 import { findHeader } from "../http/headers.ts";
-import { type Belonging, UpstreamConnection } from "./upstream_connection.ts";
+import { type AnswerMatch, UpstreamConnection } from "./upstream_connection.ts";
 
 const LIMIT_MILLISECONDS = 2_000;
 
@@ -63,13 +63,13 @@
       body: Buffer.alloc(0),
     };
     connection.send(request, {
-      onHead: (head): Belonging => {
+      onHead: (head): AnswerMatch => {
         const answered = findHeader(head.headers, "x-id");
         if (answered === undefined) return "spoiled";
         return answered === id ? "own" : "other";
       },
       onBody: (bytes) => body += bytes.toString(),
-      onWhole: () => resolve({ how: "whole", body }),
+      onComplete: () => resolve({ how: "whole", body }),
       onFailure: () => resolve({ how: "failed", body }),
     });
   });
--- a/packages/gateway/src/upstreams/upstream_health.ts
+++ b/packages/gateway/src/upstreams/upstream_health.ts
@@ -104,12 +104,12 @@
   }
 
   /** Records that a request was sent and its answer is pending. */
-  noteSent(request: object, now: number): void {
+  recordSent(request: object, now: number): void {
     this.#sentAtByRequest.set(request, now);
   }
 
   /** Records that a request is no longer pending, however it ended. */
-  noteHeard(request: object): void {
+  recordSettled(request: object): void {
     this.#sentAtByRequest.delete(request);
   }
 
@@ -117,7 +117,7 @@
    * Records the time of a successful answer, ms, and resets the count of
    * failures.
    */
-  noteTime(milliseconds: number, now: number): void {
+  recordTime(milliseconds: number, now: number): void {
     this.#failures = 0;
     this.#measuredAt = now;
     this.#meanMilliseconds = this.#meanMilliseconds < 0
@@ -131,7 +131,7 @@
    * failures during a backoff are ignored: requests that were in flight together
    * fail together and count once.
    */
-  noteFailure(now: number): void {
+  recordFailure(now: number): void {
     if (this.isBackingOff(now)) return;
     const backoff = MIN_BACKOFF_MILLISECONDS * 2 ** this.#failures;
     this.#failures++;
@@ -142,7 +142,7 @@
    * Takes the upstream out of use for some time, ms, because it has reported
    * that it is full.
    */
-  noteFull(now: number, milliseconds: number): void {
+  markFull(now: number, milliseconds: number): void {
     this.#fullUntil = Math.max(this.#fullUntil, now + milliseconds);
   }
 }
--- a/packages/gateway/src/upstreams/upstream_restart_test.ts
+++ b/packages/gateway/src/upstreams/upstream_restart_test.ts
@@ -39,8 +39,8 @@
     });
   table.update([createIncarnation(1)]);
   const first = choose("");
-  first?.health.noteFailure(NOW);
-  prompts.note([{ id: "part", tokens: 500 }], first?.instance.id ?? "");
+  first?.health.recordFailure(NOW);
+  prompts.record([{ id: "part", tokens: 500 }], first?.instance.id ?? "");
   t.equal(
     choose(""),
     undefined,
--- a/packages/gateway/src/upstreams/upstream_table.ts
+++ b/packages/gateway/src/upstreams/upstream_table.ts
@@ -108,7 +108,7 @@
   }
 
   /** Median over the upstreams of a service of their mean answer times, ms. */
-  findTypical(service: string, now: number): number {
+  findMedianTime(service: string, now: number): number {
     return findMedianMean(this.#byService.get(service) ?? [], now);
   }
 
--- a/packages/gateway/src/upstreams/upstream_table_test.ts
+++ b/packages/gateway/src/upstreams/upstream_table_test.ts
@@ -32,7 +32,7 @@
   t.equal(table.choose(createOptions())?.instance.id, "a");
   t.equal(table.choose(createOptions({ tried: new Set(["a"]) })), undefined);
   const upstream = table.choose(createOptions());
-  upstream?.health.noteFailure(0);
+  upstream?.health.recordFailure(0);
   t.equal(table.choose(createOptions({ now: 1 })), undefined);
   t.equal(table.choose(createOptions({ now: 10_000 }))?.instance.id, "a");
   t.end();
@@ -98,8 +98,8 @@
   first.running = 1;
   t.equal(table.choose(options), first);
   // A request that has been pending for far longer than usual does.
-  for (const upstream of table.list()) upstream.health.noteTime(50, 0);
-  first.health.noteSent({}, 0);
+  for (const upstream of table.list()) upstream.health.recordTime(50, 0);
+  first.health.recordSent({}, 0);
   t.not(table.choose({ ...options, now: 400 }), first);
   t.end();
 });
--- a/packages/gateway/src/workspaces/key_admission.ts
+++ b/packages/gateway/src/workspaces/key_admission.ts
@@ -26,7 +26,7 @@
 import { hasWorkspaces } from "./scoped_id.ts";
 
 /** Retry delay while a gateway does not know the newest document, ms. */
-export const STALE_MILLISECONDS = 500;
+export const STALE_RETRY_MILLISECONDS = 500;
 
 /** The parts of a request that its admission depends on. */
 export interface AdmissionRequest {
@@ -51,9 +51,9 @@
   /** True if the document in force is known to be the newest. */
   readonly isNewest: (now: number) => boolean;
   /** Time since a quorum confirmed that the document in force is the newest, ms. */
-  readonly findConfirmationAge: (now: number) => number;
+  readonly findConfirmationAgeMilliseconds: (now: number) => number;
   /** Resolves when there is news of the document, or after the limit, ms. */
-  readonly waitForNews: (limitMilliseconds: number) => Promise<void>;
+  readonly waitForUpdate: (limitMilliseconds: number) => Promise<void>;
   /** Timeout for a document or its confirmation, ms. */
   readonly waitMilliseconds: number;
   /** Time after its revocation from which no gateway may accept a key, ms. */
@@ -80,7 +80,7 @@
       const isUndecided = decision.err &&
         decision.val.code === RESULT_CODES.CONFIGURATION_STALE;
       if (!isUndecided || now >= until) return decision;
-      await this.#options.waitForNews(until - now);
+      await this.#options.waitForUpdate(until - now);
     }
   }
 
@@ -107,7 +107,7 @@
         message: RESULT_CODES.NOT_AUTHENTICATED.meaning,
       });
     }
-    if (!this.acceptsKeys(now)) {
+    if (!this.areKeysAccepted(now)) {
       return refuseStale("No quorum confirmed the workspace keys in time");
     }
     return Ok({ route, table, workspace, keyDigest });
@@ -125,22 +125,25 @@
       if (now >= until) {
         return refuseStale("No quorum confirmed the workspace keys in time");
       }
-      await this.#options.waitForNews(until - now);
+      await this.#options.waitForUpdate(until - now);
     }
   }
 
   /** True if the request may still be sent in the current state. */
   isValid(admission: Admission, now: number): boolean {
     if (admission.keyDigest === "") return true;
-    return this.#isKeyKnown(admission) && this.acceptsKeys(now);
+    return this.#isKeyKnown(admission) && this.areKeysAccepted(now);
   }
 
   /** True if keys are currently accepted or none are needed. */
-  acceptsKeys(now: number): boolean {
+  areKeysAccepted(now: number): boolean {
     const table = this.#options.getRoutes();
     if (table === undefined) return false;
     if (!hasWorkspaces(table.document)) return true;
-    const { revocationMilliseconds, findConfirmationAge } = this.#options;
+    const {
+      revocationMilliseconds,
+      findConfirmationAgeMilliseconds: findConfirmationAge,
+    } = this.#options;
     return findConfirmationAge(now) <
       revocationMilliseconds * (1 - REVOCATION_MARGIN_FRACTION);
   }
@@ -172,5 +175,9 @@
 }
 
 function refuseStale(message: string): ReturnType<typeof fail> {
-  return fail(RESULT_CODES.CONFIGURATION_STALE, message, STALE_MILLISECONDS);
+  return fail(
+    RESULT_CODES.CONFIGURATION_STALE,
+    message,
+    STALE_RETRY_MILLISECONDS,
+  );
 }
--- a/packages/gateway/src/workspaces/key_admission_test.ts
+++ b/packages/gateway/src/workspaces/key_admission_test.ts
@@ -66,8 +66,8 @@
   const admission = new KeyAdmission({
     getRoutes: () => site.table,
     isNewest: () => site.isNewest,
-    findConfirmationAge: () => site.confirmationAge,
-    waitForNews: () => {
+    findConfirmationAgeMilliseconds: () => site.confirmationAge,
+    waitForUpdate: () => {
       site.onWait();
       return new Promise((resolve) => setTimeout(resolve, 1));
     },
@@ -116,7 +116,7 @@
   site.table = createTable(1, []);
   site.confirmationAge = Infinity;
   t.equal(evaluate(admission, createRequest("/closed/x", "key-9")), "nobody");
-  t.ok(admission.acceptsKeys(0));
+  t.ok(admission.areKeysAccepted(0));
   t.end();
 });
 
@@ -143,7 +143,7 @@
   const request = createRequest("/closed/x", "key-1");
   t.equal(evaluate(admission, request), "CONFIGURATION_STALE");
   t.equal(evaluate(admission, createRequest("/open/x")), "nobody");
-  t.notOk(admission.acceptsKeys(0), "the gateway is not ready");
+  t.notOk(admission.areKeysAccepted(0), "the gateway is not ready");
   const refused = await admission.admit(request);
   t.ok(refused.err && (refused.val.retryAfterMilliseconds ?? 0) > 0);
   site.onWait = () => {
--- a/packages/mocks/src/opaque/opaque_upstream.ts
+++ b/packages/mocks/src/opaque/opaque_upstream.ts
@@ -34,18 +34,18 @@
 /** Faults that a test can enable at run time. */
 export interface OpaqueFaults {
   /** Answers 503 with `x-not-run`, without running the request. */
-  isFull: boolean;
+  refusesRequests: boolean;
   /** Runs the request and answers 500. */
   fails: boolean;
   /** Runs the request and closes the connection without an answer. */
-  losesAnswers: boolean;
+  dropsAnswers: boolean;
   /**
    * Closes a stream after this many events, and a large answer after this many
    * parts; Infinity for never.
    */
-  cutsAfter: number;
+  closesAfter: number;
   /** Time between two events of a stream, ms. */
-  pauseMilliseconds: number;
+  eventIntervalMilliseconds: number;
   /** Time from a request to the headers of its answer, ms. */
   silentMilliseconds: number;
 }
@@ -60,11 +60,11 @@
   /** Ids of calls whose connection closed before the answer was complete. */
   readonly left: string[] = [];
   readonly faults: OpaqueFaults = {
-    isFull: false,
+    refusesRequests: false,
     fails: false,
-    losesAnswers: false,
-    cutsAfter: Infinity,
-    pauseMilliseconds: 1,
+    dropsAnswers: false,
+    closesAfter: Infinity,
+    eventIntervalMilliseconds: 1,
     silentMilliseconds: 0,
   };
   /** Number of events in each stream. */
@@ -108,7 +108,7 @@
       response.writeHead(MISDIRECTED).end();
       return;
     }
-    if (this.faults.isFull) {
+    if (this.faults.refusesRequests) {
       response.writeHead(UNAVAILABLE, { "x-not-run": "1" }).end();
       return;
     }
@@ -120,7 +120,7 @@
       if (!response.writableFinished) this.left.push(callId);
     });
     if (this.faults.fails) return void response.writeHead(FAILED).end("failed");
-    if (this.faults.losesAnswers) return void request.socket.destroy();
+    if (this.faults.dropsAnswers) return void request.socket.destroy();
     if (this.faults.silentMilliseconds > 0) {
       await sleep(this.faults.silentMilliseconds);
     }
@@ -130,12 +130,12 @@
     else response.writeHead(OK).end(`ran ${callId}`);
   }
 
-  /** Sends a large answer, or its first parts if `cutsAfter` is set. */
+  /** Sends a large answer, or its first parts if `closesAfter` is set. */
   async #sendLargeAnswer(response: ServerResponse): Promise<void> {
     const size = LARGE_PARTS * LARGE_PART_BYTES;
     response.writeHead(OK, { "content-length": size });
     for (let part = 0; part < LARGE_PARTS; part++) {
-      if (part >= this.faults.cutsAfter) return void response.destroy();
+      if (part >= this.faults.closesAfter) return void response.destroy();
       const bytes = Buffer.alloc(LARGE_PART_BYTES, FIRST_LETTER_CODE + part);
       await new Promise((resolve) => response.write(bytes, resolve));
     }
@@ -150,13 +150,13 @@
   ): Promise<void> {
     response.writeHead(OK, { "content-type": "text/event-stream" });
     for (let event = lastReceivedEvent + 1; event <= this.events; event++) {
-      if (event > this.faults.cutsAfter) {
+      if (event > this.faults.closesAfter) {
         response.write(`id: ${event}\ndata: cut`);
         return void response.destroy();
       }
       const data = describeEvent(prompt, event);
       response.write(`id: ${event}\ndata: ${data}\n\n`);
-      await sleep(this.faults.pauseMilliseconds);
+      await sleep(this.faults.eventIntervalMilliseconds);
       if (response.destroyed) return;
     }
     response.end();
--- a/packages/mocks/src/proxy/fault_proxy.ts
+++ b/packages/mocks/src/proxy/fault_proxy.ts
@@ -100,7 +100,7 @@
   }
 
   /** Drops all bytes in both directions, and keeps the connections open. */
-  cut(): void {
+  dropAll(): void {
     this.faults.dropToClient = true;
     this.faults.dropToServer = true;
   }
--- a/packages/programs/src/budget.ts
+++ b/packages/programs/src/budget.ts
@@ -3,7 +3,11 @@
  * its ancestors.
  */
 
-import { type CallBody, measureMessages, type Usage } from "@mallowlift/core";
+import {
+  type CallBody,
+  estimatePromptTokens,
+  type Usage,
+} from "@mallowlift/core";
 import type { ProgramRecord } from "./program_records.ts";
 
 /** Returns a program by its id. */
@@ -20,7 +24,7 @@
  */
 export function computeReservation(body: CallBody): number {
   if (body.kind === "service") return 0;
-  return measureMessages(body.messages) + body.maxTokens;
+  return estimatePromptTokens(body.messages) + body.maxTokens;
 }
 
 /**
@@ -30,7 +34,7 @@
 export function computeUsedTokens(body: CallBody, usage: Usage): number {
   if (body.kind === "service") return 0;
   const generated = Math.min(usage.completionTokens, body.maxTokens);
-  return measureMessages(body.messages) + generated;
+  return estimatePromptTokens(body.messages) + generated;
 }
 
 /**
--- a/packages/replica/src/calls/call_listeners.ts
+++ b/packages/replica/src/calls/call_listeners.ts
@@ -8,7 +8,7 @@
   type Outcome,
   type RunCallEvent,
   type RunCallReply,
-  waitAtMost,
+  waitWithTimeout,
 } from "@mallowlift/core";
 
 /**
@@ -69,7 +69,7 @@
     this.publish(event);
     const streaming = [...this.#listeners].some((listener) => listener.stream);
     if (!streaming) return "";
-    return await waitAtMost(
+    return await waitWithTimeout(
       this.#deliveredText.promise,
       DELIVERED_TEXT_TIMEOUT_MILLISECONDS,
     ) ?? "";
--- a/packages/replica/src/calls/call_runner_test.ts
+++ b/packages/replica/src/calls/call_runner_test.ts
@@ -15,7 +15,7 @@
   type ProgramRecord,
   ProgramState,
 } from "@mallowlift/programs";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import fc from "fast-check";
 import { test } from "tap";
 import { Ok } from "ts-results";
@@ -40,7 +40,7 @@
 /**
  * A sidecar that follows a script of steps and counts the attempts that ran.
  */
-class ScriptedSidecar implements Caller {
+class ScriptedSidecar implements PeerClient {
   runs = 0;
   readonly #steps: Step[];
 
--- a/packages/replica/src/calls/run_attempt.ts
+++ b/packages/replica/src/calls/run_attempt.ts
@@ -13,7 +13,7 @@
   type ResultCode,
   sleep,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { type AttemptEnd, lost, neverRan } from "./attempt_end.ts";
 
 /** Timeout of one recover or cancel request. */
@@ -31,7 +31,7 @@
 
 /** An attempt at a sidecar, with the time limits for requests about it. */
 export interface AttemptCall {
-  readonly caller: Caller;
+  readonly caller: PeerClient;
   readonly key: AttemptKey;
   readonly term: number;
   readonly bootId: string;
--- a/packages/replica/src/programs/program_owner.ts
+++ b/packages/replica/src/programs/program_owner.ts
@@ -8,6 +8,7 @@
   type AliveReply,
   type AliveRequest,
   type CreateProgramRequest,
+  type DeliveredText,
   type EndProgramRequest,
   type EndReason,
   fail,
@@ -22,7 +23,6 @@
   type RunCallEvent,
   type RunCallReply,
   type RunCallRequest,
-  type ToldText,
 } from "@mallowlift/core";
 import {
   type LeadershipListener,
@@ -219,7 +219,7 @@
   }
 
   /** Passes the text that a caller received from a lost attempt to the call. */
-  receiveDeliveredText(told: ToldText): Outcome<Record<string, never>> {
+  receiveDeliveredText(told: DeliveredText): Outcome<Record<string, never>> {
     const runner = this.#runners.get(formatCallKey(told));
     runner?.listeners.setDeliveredText(told.text);
     return Ok({});
--- a/packages/replica/src/sidecars/placement.ts
+++ b/packages/replica/src/sidecars/placement.ts
@@ -2,15 +2,15 @@
 
 import {
   type CallBody,
+  estimatePromptTokens,
   fail,
-  measureMessages,
   type Outcome,
   RESULT_CODES,
   type Usage,
 } from "@mallowlift/core";
 import type { AttemptTarget, ProgramRecord } from "@mallowlift/programs";
 import type { PlacementCall, PlacementPolicy } from "@mallowlift/scheduling";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { Ok } from "ts-results";
 import { buildPrompt } from "../calls/build_prompt.ts";
 import type { SidecarDirectory } from "./sidecar_directory.ts";
@@ -87,7 +87,7 @@
   }
 
   /** Returns the transport client of a sidecar. */
-  getCaller(address: string): Caller {
+  getCaller(address: string): PeerClient {
     return this.#directory.getCaller(address);
   }
 }
@@ -104,7 +104,7 @@
 ): PlacementCall {
   return {
     programId: program.programId,
-    promptTokens: measureMessages(buildPrompt(program, body)),
+    promptTokens: estimatePromptTokens(buildPrompt(program, body)),
     maxTokens: body.kind === "model" ? body.maxTokens : 0,
   };
 }
--- a/packages/replica/src/sidecars/sidecar_directory.ts
+++ b/packages/replica/src/sidecars/sidecar_directory.ts
@@ -2,7 +2,7 @@
 
 import type { CallBody, SidecarReport, SidecarStatus } from "@mallowlift/core";
 import type { PlacementCandidate } from "@mallowlift/scheduling";
-import type { Caller, PeerLinks } from "@mallowlift/transport";
+import type { PeerClient, PeerLinks } from "@mallowlift/transport";
 import type { AttemptTarget } from "@mallowlift/programs";
 import { CacheRecords } from "./cache_records.ts";
 
@@ -100,7 +100,7 @@
   }
 
   /** Returns the transport client of a sidecar. */
-  getCaller(address: string): Caller {
+  getCaller(address: string): PeerClient {
     return this.#links.get(address);
   }
 
--- a/packages/scheduling/src/create_policies.ts
+++ b/packages/scheduling/src/create_policies.ts
@@ -6,7 +6,7 @@
 import type { PlacementPolicy } from "./placement_policy.ts";
 import { PrefixAffinity } from "./prefix_affinity.ts";
 import {
-  FirstCome,
+  FirstComeFirstServed,
   LeastAttainedService,
   type QueueOrder,
 } from "./queue_order.ts";
@@ -25,6 +25,6 @@
 /** Creates the queue order of a sidecar. */
 export function createQueueOrder(settings: Settings["sidecar"]): QueueOrder {
   return settings.order === "first_come"
-    ? new FirstCome()
+    ? new FirstComeFirstServed()
     : new LeastAttainedService();
 }
--- a/packages/scheduling/src/queue_order.ts
+++ b/packages/scheduling/src/queue_order.ts
@@ -1,7 +1,7 @@
 /** Queue orders, which decide the next waiting call that a sidecar runs. */
 
 /** A call that waits for a slot. */
-export interface WaitingCall {
+export interface QueuedCall {
   /** Calls with a higher priority run first. */
   readonly priority: number;
   /** Tokens generated for the program so far, on all upstreams. */
@@ -14,14 +14,14 @@
 export interface QueueOrder {
   readonly name: string;
   /** Returns the index of the next call in a non-empty queue. */
-  choose(waiting: readonly WaitingCall[], now: number): number;
+  choose(waiting: readonly QueuedCall[], now: number): number;
 }
 
 /** Baseline: first come, first served. */
-export class FirstCome implements QueueOrder {
+export class FirstComeFirstServed implements QueueOrder {
   readonly name = "first_come";
 
-  choose(waiting: readonly WaitingCall[]): number {
+  choose(waiting: readonly QueuedCall[]): number {
     let first = 0;
     for (const [position, call] of waiting.entries()) {
       const known = waiting[first];
@@ -51,7 +51,7 @@
 export class LeastAttainedService implements QueueOrder {
   readonly name = "least_attained";
 
-  choose(waiting: readonly WaitingCall[], now: number): number {
+  choose(waiting: readonly QueuedCall[], now: number): number {
     let best = 0;
     let highestLevel = -Infinity;
     for (const [position, call] of waiting.entries()) {
@@ -64,7 +64,7 @@
   }
 
   /** Returns the level of a call. The call with the highest level runs next. */
-  computeLevel(call: WaitingCall, now: number): number {
+  computeLevel(call: QueuedCall, now: number): number {
     const agingLevels = Math.max(0, now - call.arrivedAt) /
       AGING_MILLISECONDS_PER_LEVEL;
     const attainedLevels = Math.min(
--- a/packages/sessions/src/budgets.ts
+++ b/packages/sessions/src/budgets.ts
@@ -1,6 +1,6 @@
 /** Token budgets of programs, which are not created but begin with their first turn. */
 
-import type { TurnReserve } from "@mallowlift/core";
+import type { TurnReservation } from "@mallowlift/core";
 
 /**
  * Time without a turn after which the budget of a program is dropped, ms. A
@@ -51,7 +51,7 @@
    *
    * @returns false if the budget is used up
    */
-  reserve(turn: TurnReserve, at: number): boolean {
+  reserve(turn: TurnReservation, at: number): boolean {
     const program = this.#get(turn.programId, at);
     if (program.settled.has(turn.turnId)) return true;
     if (program.reserved.has(turn.turnId)) return true;
--- a/packages/sessions/src/quotas.ts
+++ b/packages/sessions/src/quotas.ts
@@ -1,6 +1,6 @@
 /** Counts the recent permits of each workspace in a sliding window. */
 
-import type { QuotaBound, QuotaCharge, QuotaGrant } from "@mallowlift/core";
+import type { QuotaCharge, QuotaGrant, QuotaLimit } from "@mallowlift/core";
 
 /** Length of the slots of a window, ms of site time. */
 const SLOT_MILLISECONDS = 50;
@@ -14,7 +14,7 @@
 
 /** The window of a workspace as it is stored in a snapshot. */
 export interface StoredQuota {
-  readonly bound: QuotaBound;
+  readonly bound: QuotaLimit;
   /** Pairs of a slot number and its permits, oldest first. */
   readonly slots: readonly (readonly [number, number])[];
   readonly usedAt: number;
@@ -22,7 +22,7 @@
 
 /** The permits of one workspace within its span. */
 interface Ledger {
-  bound: QuotaBound;
+  bound: QuotaLimit;
   slots: [number, number][];
   used: number;
   usedAt: number;
@@ -67,7 +67,7 @@
   }
 
   /** Returns the time until a permit is available, ms; 0 if one is available now. */
-  findWait(bound: QuotaBound, at: number): number {
+  findWait(bound: QuotaLimit, at: number): number {
     const ledger = this.#find(bound, at);
     return ledger.used < ledger.bound.most ? 0 : findRetryAfter(ledger, at);
   }
@@ -104,7 +104,7 @@
   }
 
   /** Returns the ledger of a workspace after dropping slots older than its span. */
-  #find(bound: QuotaBound, at: number): Ledger {
+  #find(bound: QuotaLimit, at: number): Ledger {
     const known = this.#ledgers.get(bound.workspace);
     if (known === undefined) {
       const ledger: Ledger = { bound, slots: [], used: 0, usedAt: at };
--- a/packages/sessions/src/quotas_test.ts
+++ b/packages/sessions/src/quotas_test.ts
@@ -1,11 +1,11 @@
-import type { QuotaBound } from "@mallowlift/core";
+import type { QuotaLimit } from "@mallowlift/core";
 import fc from "fast-check";
 import { test } from "tap";
 import { Quotas } from "./quotas.ts";
 
 const SEED = 1;
 const RUNS = 300;
-const BOUND: QuotaBound = {
+const BOUND: QuotaLimit = {
   workspace: "north",
   version: 1,
   most: 10,
--- a/packages/sessions/src/site_commands.ts
+++ b/packages/sessions/src/site_commands.ts
@@ -6,7 +6,7 @@
   QuotaGrant,
   ResultCodeName,
   TakePermits,
-  TurnReserve,
+  TurnReservation,
 } from "@mallowlift/core";
 import type { UnpackedDocument } from "./packed_document.ts";
 
@@ -24,7 +24,7 @@
 }
 
 /** Reserves tokens for a turn. */
-export interface BeginCommand extends TurnReserve {
+export interface BeginCommand extends TurnReservation {
   readonly kind: "begin";
   /** Site time, ms; it does not advance while there is no leader. */
   readonly at: number;
--- a/packages/sessions/src/turn_tree.ts
+++ b/packages/sessions/src/turn_tree.ts
@@ -1,14 +1,14 @@
 /** The kept turns as a forest: each turn continues at most one other turn. */
 
-import type { EndTurn, KeptTurn } from "@mallowlift/core";
+import type { EndTurn, TurnRecord } from "@mallowlift/core";
 
 /** A kept turn with its expiry time. */
-export interface StoredTurn extends KeptTurn {
+export interface StoredTurn extends TurnRecord {
   /** Site time, ms. */
   readonly expiresAt: number;
 }
 
-type MutableTurn = KeptTurn & { expiresAt: number };
+type MutableTurn = TurnRecord & { expiresAt: number };
 
 /** The turns of all programs. */
 export class TurnTree {
@@ -41,8 +41,8 @@
   listChain(
     turnId: string,
     known: ReadonlySet<string> = new Set(),
-  ): readonly KeptTurn[] {
-    const chain: KeptTurn[] = [];
+  ): readonly TurnRecord[] {
+    const chain: TurnRecord[] = [];
     let turn = this.#turns.get(turnId);
     while (turn !== undefined && !known.has(turn.turnId)) {
       const { expiresAt: _expiresAt, ...kept } = turn;
--- a/packages/sidecar/src/attempts/admission.ts
+++ b/packages/sidecar/src/attempts/admission.ts
@@ -4,9 +4,9 @@
  */
 
 import { createDeferred, type Deferred } from "@mallowlift/core";
-import type { QueueOrder, WaitingCall } from "@mallowlift/scheduling";
+import type { QueuedCall, QueueOrder } from "@mallowlift/scheduling";
 
-interface Waiter extends WaitingCall {
+interface Waiter extends QueuedCall {
   readonly turn: Deferred<boolean>;
 }
 
@@ -56,7 +56,7 @@
   }
 
   /** Waits for a slot; returns false if the call is cancelled while queued. */
-  async acquire(call: WaitingCall, signal: AbortSignal): Promise<boolean> {
+  async acquire(call: QueuedCall, signal: AbortSignal): Promise<boolean> {
     if (this.#running < this.#limits.slots) {
       this.#running++;
       return true;
--- a/packages/sidecar/src/attempts/attempt_table_test.ts
+++ b/packages/sidecar/src/attempts/attempt_table_test.ts
@@ -10,7 +10,7 @@
   RESULT_CODES,
   SILENT_LOGGER,
 } from "@mallowlift/core";
-import { FirstCome } from "@mallowlift/scheduling";
+import { FirstComeFirstServed } from "@mallowlift/scheduling";
 import fc from "fast-check";
 import { setImmediate } from "node:timers/promises";
 import { test } from "tap";
@@ -78,7 +78,7 @@
   };
   const table = new AttemptTable({
     bootId: BOOT_ID,
-    admission: new Admission(limits, new FirstCome()),
+    admission: new Admission(limits, new FirstComeFirstServed()),
     upstream,
     keepMilliseconds: 1_000,
     logger: SILENT_LOGGER,
--- a/packages/sidecar/src/orders/order_reconciler.ts
+++ b/packages/sidecar/src/orders/order_reconciler.ts
@@ -8,7 +8,7 @@
 import { performance } from "node:perf_hooks";
 import type { ConfigurationView } from "@mallowlift/configuration";
 import { ABORTED, type Logger, sleep } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import type { EngineOrderClient, EngineState } from "./engine_orders.ts";
 import { planOrders } from "./plan_orders.ts";
 
@@ -21,7 +21,7 @@
   readonly bootId: string;
   readonly engine: EngineOrderClient;
   readonly view: ConfigurationView;
-  readonly replicas: readonly Caller[];
+  readonly replicas: readonly PeerClient[];
   readonly leaseMilliseconds: number;
   readonly logger: Logger;
 }
--- a/packages/sidecar/src/reports/reporter.ts
+++ b/packages/sidecar/src/reports/reporter.ts
@@ -7,13 +7,13 @@
   sleep,
   WakeSignal,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 
 const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
 /** Options of {@linkcode Reporter}. */
 export interface ReporterOptions {
-  readonly replicas: readonly Caller[];
+  readonly replicas: readonly PeerClient[];
   readonly reportMilliseconds: number;
   readonly createReport: () => SidecarReport;
   readonly logger: Logger;
@@ -45,7 +45,7 @@
     this.#reportRequested.wake();
   }
 
-  async #reportTo(replica: Caller): Promise<void> {
+  async #reportTo(replica: PeerClient): Promise<void> {
     while (!this.#stopped.signal.aborted) {
       const report = this.#options.createReport();
       const sent = await replica.call("sidecars.report", report, {
--- a/packages/sidecar/src/reports/session_cleaner.ts
+++ b/packages/sidecar/src/reports/session_cleaner.ts
@@ -9,7 +9,7 @@
   RESULT_CODES,
   sleep,
 } from "@mallowlift/core";
-import type { Caller } from "@mallowlift/transport";
+import type { PeerClient } from "@mallowlift/transport";
 import { Ok } from "ts-results";
 import type { UpstreamClient } from "../upstream/upstream_client.ts";
 
@@ -18,7 +18,7 @@
 /** Options of {@linkcode SessionCleaner}. */
 export interface SessionCleanerOptions {
   readonly upstream: UpstreamClient;
-  readonly replicas: readonly Caller[];
+  readonly replicas: readonly PeerClient[];
   readonly programGroups: number;
   readonly intervalMilliseconds: number;
   readonly logger: Logger;
--- a/packages/sidecar/src/sidecar_role.ts
+++ b/packages/sidecar/src/sidecar_role.ts
@@ -11,7 +11,7 @@
   sleep,
 } from "@mallowlift/core";
 import { createQueueOrder } from "@mallowlift/scheduling";
-import type { Caller, HandlerTable } from "@mallowlift/transport";
+import type { HandlerTable, PeerClient } from "@mallowlift/transport";
 import { Admission } from "./attempts/admission.ts";
 import { AttemptTable } from "./attempts/attempt_table.ts";
 import { HttpEngineOrderClient } from "./orders/engine_orders.ts";
@@ -42,7 +42,7 @@
   readonly bootId: string;
   /** Returns the address at which other daemons reach this one. */
   readonly getAddress: () => string;
-  readonly replicas: readonly Caller[];
+  readonly replicas: readonly PeerClient[];
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
--- a/packages/store/src/instance_reader.ts
+++ b/packages/store/src/instance_reader.ts
@@ -9,9 +9,9 @@
   type InstanceList,
   type InstanceListReply,
   type Logger,
+  LogRateLimiter,
   type Metrics,
   type ReadInstanceList,
-  RepeatLimit,
   sleep,
   type UpstreamInstance,
 } from "@mallowlift/core";
@@ -38,7 +38,7 @@
 /** Reads and caches the instance list of one store. */
 export class InstanceReader {
   readonly #options: InstanceReaderOptions;
-  readonly #invalidEntryLogLimit = new RepeatLimit(
+  readonly #invalidEntryLogLimit = new LogRateLimiter(
     INVALID_ENTRY_LOG_INTERVAL_MILLISECONDS,
   );
   #polling: AbortController | undefined;
@@ -154,7 +154,7 @@
   /** Counts an invalid entry; logging is rate-limited, as the entry recurs in every read. */
   #reportInvalidEntry(reason: string, now: number): void {
     const { metrics, logger } = this.#options;
-    metrics.strangeInstances.inc({ reason });
+    metrics.invalidInstances.inc({ reason });
     const repeats = this.#invalidEntryLogLimit.take(reason, now);
     if (repeats === undefined) return;
     logger.warn("Invalid instance entry skipped", { reason, repeats });
--- a/packages/store/src/instance_source.ts
+++ b/packages/store/src/instance_source.ts
@@ -2,10 +2,10 @@
 
 import { readFile } from "node:fs/promises";
 import {
-  describeThrown,
   fail,
   type Outcome,
   RESULT_CODES,
+  toCodedError,
   type UpstreamInstance,
 } from "@mallowlift/core";
 import { Err, Ok } from "ts-results";
@@ -49,7 +49,7 @@
       }
       return Ok(readInstances(entries, onInvalidEntry));
     } catch (thrown) {
-      return Err(describeThrown(thrown));
+      return Err(toCodedError(thrown));
     }
   }
 }
--- a/packages/store/src/proposal_report.ts
+++ b/packages/store/src/proposal_report.ts
@@ -36,8 +36,8 @@
   record(command: FinishedCommand, now: number): void {
     const { kind, requestCount, isAbandoned } = command;
     this.#metrics.proposals.inc({ kind });
-    this.#metrics.repeatedAsks.inc({ kind }, requestCount - 1);
-    if (isAbandoned) this.#metrics.unheardAnswers.inc({ kind });
+    this.#metrics.repeatedCommands.inc({ kind }, requestCount - 1);
+    if (isAbandoned) this.#metrics.abandonedCommands.inc({ kind });
     this.#decided++;
     this.#repeated += requestCount - 1;
     if (isAbandoned) this.#abandoned++;
--- a/packages/store/src/retirement_owner.ts
+++ b/packages/store/src/retirement_owner.ts
@@ -2,11 +2,11 @@
 
 import type { ReplicatedGroup } from "@mallowlift/consensus";
 import {
+  type EmptyMessage,
   fail,
-  type Nothing,
   type Outcome,
   RESULT_CODES,
-  type RetireState,
+  type RetirementStatus,
   type RetireStore,
 } from "@mallowlift/core";
 import type { SiteState } from "@mallowlift/sessions";
@@ -34,7 +34,7 @@
   async retire(
     request: RetireStore,
     signal: AbortSignal,
-  ): Promise<Outcome<Nothing>> {
+  ): Promise<Outcome<EmptyMessage>> {
     const { state, minStores, getGroup, propose } = this.#options;
     const members = getGroup()?.membership.members ?? [];
     const target = members.find((member) => member.replicaId === request.name);
@@ -72,7 +72,7 @@
   async getState(
     request: RetireStore,
     signal: AbortSignal,
-  ): Promise<Outcome<RetireState>> {
+  ): Promise<Outcome<RetirementStatus>> {
     const { state, minStores, getGroup, propose } = this.#options;
     const result = await propose({ kind: "read" }, signal);
     if (result.err) return result;
@@ -91,7 +91,7 @@
     const isMember = membership.members.some((member) =>
       member.incarnation === retiringIncarnation
     );
-    const isSettled = membership.changedAt <= group.appliedIndex &&
+    const isSettled = membership.changedIndex <= group.appliedIndex &&
       membership.voters.length >= minStores;
     return Ok({ done: !isMember && isSettled });
   }
--- a/packages/store/src/site_owner.ts
+++ b/packages/store/src/site_owner.ts
@@ -10,22 +10,22 @@
 } from "@mallowlift/consensus";
 import {
   type BeginTurn,
+  type BeginTurnReply,
   countRefusal,
   type DocumentPart,
   type EndTurn,
+  type EndTurnReply,
   fail,
   findResultCode,
   type Logger,
+  LogRateLimiter,
   type Metrics,
   type Outcome,
-  type PermitsTaken,
   type ReadDocumentPart,
-  RepeatLimit,
   RESULT_CODES,
   type ResultCode,
   type TakePermits,
-  type TurnBegun,
-  type TurnEnded,
+  type TakePermitsReply,
   WakeSignal,
 } from "@mallowlift/core";
 import {
@@ -78,7 +78,7 @@
   readonly #report: ProposalReport;
   /** Commands in flight, by their {@linkcode createDeduplicationKey}. */
   readonly #sharedCommands = new SharedCommands<Outcome<Applied>>();
-  readonly #refusalLogLimit = new RepeatLimit(
+  readonly #refusalLogLimit = new LogRateLimiter(
     REFUSAL_LOG_INTERVAL_MILLISECONDS,
   );
   #isLeading = false;
@@ -126,7 +126,7 @@
   async begin(
     request: BeginTurn,
     signal: AbortSignal,
-  ): Promise<Outcome<TurnBegun>> {
+  ): Promise<Outcome<BeginTurnReply>> {
     // The turns that the gateway has do not affect the state: not replicated.
     const { missingFrom, knownTurns, ...reserve } = request;
     const at = this.#getSiteTime();
@@ -150,7 +150,7 @@
   async end(
     request: EndTurn,
     signal: AbortSignal,
-  ): Promise<Outcome<TurnEnded>> {
+  ): Promise<Outcome<EndTurnReply>> {
     this.#latestUpstreams.record(request.programId, request.upstream);
     const at = this.#getSiteTime();
     const command = { kind: "end", at, ...request } as const;
@@ -164,7 +164,7 @@
   async takePermits(
     request: TakePermits,
     signal: AbortSignal,
-  ): Promise<Outcome<PermitsTaken>> {
+  ): Promise<Outcome<TakePermitsReply>> {
     const at = this.#getSiteTime();
     const command = { kind: "charge", at, ...request } as const;
     const result = await this.#propose(command, signal);
@@ -250,7 +250,8 @@
     const quota = command.kind === "begin" ? command.quota : undefined;
     if (quota === undefined) return Ok(undefined);
     const urgency = findUrgency(command, this.#options.state);
-    const { part, comeBackMilliseconds } = group.findPressure(urgency, now);
+    const { part, retryAfterMilliseconds: comeBackMilliseconds } = group
+      .findProposalLoad(urgency, now);
     const share = { workspace: quota.workspace, weight: quota.most };
     if (this.#fairShares.tryAdmit(share, part, now)) return Ok(undefined);
     this.#countRefusedForLoad();
--- a/packages/store/src/store_replicas.ts
+++ b/packages/store/src/store_replicas.ts
@@ -52,7 +52,7 @@
     const founders = isFirstStart
       ? this.#listSince(now - FOUNDER_AGE_MILLISECONDS)
       : this.#listSince(-Infinity);
-    return { founders, complete: isFirstStart && now >= settledAt };
+    return { founders, isComplete: isFirstStart && now >= settledAt };
   }
 
   /** Asks the seeds for the right to found the site; false after the first start. */
@@ -62,7 +62,7 @@
   }
 
   /** Returns the incarnations of the stores that an operator is retiring. */
-  listRetiring(): ReadonlySet<string> {
+  listRetiringIncarnations(): ReadonlySet<string> {
     return new Set(this.#options.state.retiring.values());
   }
 
--- a/packages/transport/src/connection.ts
+++ b/packages/transport/src/connection.ts
@@ -11,7 +11,6 @@
   createDeferred,
   decodeError,
   type Deferred,
-  describeThrown,
   encodeError,
   fail,
   type HandlerName,
@@ -20,6 +19,7 @@
   type Outcome,
   RESULT_CODES,
   type ResultCode,
+  toCodedError,
   type WireError,
 } from "@mallowlift/core";
 import { Ok } from "ts-results";
@@ -31,9 +31,9 @@
 } from "./frame.ts";
 import type {
   CallContext,
-  Caller,
   CallOptions,
   HandlerTable,
+  PeerClient,
 } from "./handlers.ts";
 
 /** Time between two pings on connections that wait for data, ms. */
@@ -91,7 +91,7 @@
 }
 
 /** A connection whose peer has proved that it knows the shared key. */
-export class Connection implements Caller {
+export class Connection implements PeerClient {
   readonly peer: string;
   readonly closed: Promise<void>;
   readonly #options: ConnectionOptions;
@@ -130,7 +130,7 @@
     for (const message of messages) this.#handleMessage(message);
   }
 
-  /** Calls a method of the peer; see {@linkcode Caller}. */
+  /** Calls a method of the peer; see {@linkcode PeerClient}. */
   async call<N extends HandlerName>(
     name: N,
     request: InternalHandlers[N]["request"],
@@ -306,7 +306,7 @@
     try {
       return await handler(frame.body, context);
     } catch (thrown) {
-      const error = describeThrown(thrown);
+      const error = toCodedError(thrown);
       return fail(error.code, error.message);
     }
   }
--- a/packages/transport/src/handlers.ts
+++ b/packages/transport/src/handlers.ts
@@ -31,7 +31,7 @@
 }
 
 /** Calls methods of another process. */
-export interface Caller {
+export interface PeerClient {
   /** Bytes that are not sent yet, if known. */
   readonly unsentBytes?: number;
   /** Calls a method of the peer. */
--- a/packages/transport/src/peer_link.ts
+++ b/packages/transport/src/peer_link.ts
@@ -12,13 +12,13 @@
   type Outcome,
   RESULT_CODES,
   sleep,
-  waitAtMost,
+  waitWithTimeout,
   WakeSignal,
 } from "@mallowlift/core";
 import { parseAddress } from "./address.ts";
 import { Connection } from "./connection.ts";
 import { encodeFrame, FrameReader } from "./frame.ts";
-import type { Caller, CallOptions } from "./handlers.ts";
+import type { CallOptions, PeerClient } from "./handlers.ts";
 import {
   checkProof,
   createHello,
@@ -46,7 +46,7 @@
 }
 
 /** Keeps a connection to one address open until it is stopped. */
-export class PeerLink implements Caller {
+export class PeerLink implements PeerClient {
   readonly address: string;
   readonly #options: PeerLinkOptions;
   readonly #stopped = new AbortController();
@@ -134,7 +134,7 @@
   async #connect(): Promise<Connection | undefined> {
     const socket = connectSocket(parseAddress(this.address));
     const limit = this.#options.connectMilliseconds;
-    const connection = await waitAtMost(this.#handshake(socket), limit);
+    const connection = await waitWithTimeout(this.#handshake(socket), limit);
     if (connection === undefined) socket.destroy();
     return connection;
   }
--- a/packages/transport/src/peer_server.ts
+++ b/packages/transport/src/peer_server.ts
@@ -8,7 +8,7 @@
   type Metrics,
   RESULT_CODES,
   type ResultCode,
-  waitAtMost,
+  waitWithTimeout,
 } from "@mallowlift/core";
 import { joinAddress, parseAddress } from "./address.ts";
 import { Connection } from "./connection.ts";
@@ -76,7 +76,10 @@
     const reader = new FrameReader(HANDSHAKE_MAX_BYTES);
     const messages = new HandshakeMessages(socket, reader);
     const limit = this.#options.handshakeMilliseconds;
-    const peer = await waitAtMost(this.#handshake(socket, messages), limit);
+    const peer = await waitWithTimeout(
+      this.#handshake(socket, messages),
+      limit,
+    );
     if (peer === undefined) {
       this.#reportMalformed(RESULT_CODES.HANDSHAKE_REFUSED);
       socket.end(
