--- a/packages/consensus/src/group/proposal_gate_test.ts
+++ b/packages/consensus/src/group/admission_control_test.ts
@@ -5,7 +5,7 @@
   findCost,
   URGENCIES,
   type Urgency,
-} from "./proposal_gate.ts";
+} from "./admission_control.ts";
 
 /** Cost of each entry in these tests. */
 const COST = findCost(100);
--- a/packages/consensus/src/group/applier.ts
+++ b/packages/consensus/src/group/applier.ts
@@ -23,8 +23,8 @@
   findCost,
   LARGE_ENTRY_COST,
   type PendingEntries,
-} from "./proposal_gate.ts";
-import { recordSnapshotTime, SNAPSHOT_KINDS } from "./snapshot_times.ts";
+} from "./admission_control.ts";
+import { recordSnapshotTime, SNAPSHOT_KINDS } from "./snapshot_metrics.ts";
 
 /** Smallest fraction of `snapshotEntries` after which a snapshot is taken. */
 const MIN_SNAPSHOT_FRACTION = 0.5;
--- a/packages/consensus/src/group/judge_vote_test.ts
+++ b/packages/consensus/src/group/decide_vote_test.ts
@@ -1,6 +1,6 @@
 import type { VoteRequest } from "@mallowlift/core";
 import { test } from "tap";
-import { decideVote, VOTE_OUTCOMES, type VoterState } from "./judge_vote.ts";
+import { decideVote, VOTE_OUTCOMES, type VoterState } from "./decide_vote.ts";
 
 const NOW = 10_000;
 
--- a/packages/consensus/src/group/group_report.ts
+++ b/packages/consensus/src/group/group_report.ts
@@ -4,7 +4,7 @@
  */
 
 import { type Logger, LogRateLimiter, type Metrics } from "@mallowlift/core";
-import type { VoteOutcome } from "./judge_vote.ts";
+import type { VoteOutcome } from "./decide_vote.ts";
 
 /**
  * Reasons for the end of a leadership; the values are metric labels and log
--- a/packages/consensus/src/group/joining.ts
+++ b/packages/consensus/src/group/joining.ts
@@ -16,7 +16,7 @@
 import { Ok } from "ts-results";
 import type { ReplicaSource } from "../founding/replica_source.ts";
 import type { GroupTiming } from "./group_options.ts";
-import { MEMBERSHIP_CHECK_MILLISECONDS } from "./keep_members.ts";
+import { MEMBERSHIP_CHECK_MILLISECONDS } from "./maintain_members.ts";
 import { addLearner } from "./membership_keeper.ts";
 import type { ReplicatedGroup } from "./replicated_group.ts";
 
--- a/packages/consensus/src/group/peer_replication.ts
+++ b/packages/consensus/src/group/peer_replication.ts
@@ -17,7 +17,7 @@
 import { isCold, isVoter, type PeerProgress } from "./peer_progress.ts";
 import type { StoredSnapshot } from "../storage/snapshot_store.ts";
 import { sendSnapshot } from "./send_snapshot.ts";
-import { recordSnapshotTime, SNAPSHOT_KINDS } from "./snapshot_times.ts";
+import { recordSnapshotTime, SNAPSHOT_KINDS } from "./snapshot_metrics.ts";
 import { findSpareBatchDelay } from "./spare_batching.ts";
 
 const RETRY_MILLISECONDS = 20;
--- a/packages/consensus/src/group/replicated_group.ts
+++ b/packages/consensus/src/group/replicated_group.ts
@@ -31,15 +31,15 @@
   type LeadershipEnd,
   type PendingEntriesView,
 } from "./group_report.ts";
-import { handOverLeadership } from "./hand_over.ts";
+import { handOverLeadership } from "./hand_over_leadership.ts";
 import { IncomingSnapshot } from "./incoming_snapshot.ts";
-import { decideVote, VOTE_OUTCOMES, type VoterState } from "./judge_vote.ts";
+import { decideVote, VOTE_OUTCOMES, type VoterState } from "./decide_vote.ts";
 import { Leadership } from "./leadership.ts";
 import {
   AdmissionController,
   URGENCIES,
   type Urgency,
-} from "./proposal_gate.ts";
+} from "./admission_control.ts";
 import { encodeMembers, type Membership } from "./membership.ts";
 import { ReplicaTerm } from "./replica_term.ts";
 
--- a/packages/consensus/src/mod.ts
+++ b/packages/consensus/src/mod.ts
@@ -12,7 +12,7 @@
 export * from "./group/group_options.ts";
 export * from "./group/membership.ts";
 export * from "./group/membership_keeper.ts";
-export * from "./group/proposal_gate.ts";
+export * from "./group/admission_control.ts";
 export * from "./group/replicated_group.ts";
 export * from "./founding/founding.ts";
 export * from "./founding/replica_source.ts";
--- a/packages/consensus/src/replica_groups.ts
+++ b/packages/consensus/src/replica_groups.ts
@@ -23,7 +23,7 @@
 import type { ReplicaSource } from "./founding/replica_source.ts";
 import type { GroupTiming } from "./group/group_options.ts";
 import { admitMember, maintainMembership } from "./group/joining.ts";
-import { maintainMembers } from "./group/keep_members.ts";
+import { maintainMembers } from "./group/maintain_members.ts";
 import { ReplicatedGroup } from "./group/replicated_group.ts";
 import type {
   LeadershipListener,
--- a/packages/entry/src/callers/run_call.ts
+++ b/packages/entry/src/callers/run_call.ts
@@ -11,7 +11,7 @@
 } from "@mallowlift/core";
 import type { EntryContext } from "../entry_context.ts";
 import { answerError } from "../http/answer.ts";
-import type { StreamFollower } from "./follow_stream.ts";
+import type { StreamFollower } from "./stream_follower.ts";
 
 const RUN_CALL_TIMEOUT_MILLISECONDS = 2_000_000_000;
 
--- a/packages/entry/src/callers/stream_call.ts
+++ b/packages/entry/src/callers/stream_call.ts
@@ -14,7 +14,7 @@
 import {
   DELIVERY_REPORT_TIMEOUT_MILLISECONDS,
   StreamFollower,
-} from "./follow_stream.ts";
+} from "./stream_follower.ts";
 import {
   answerCallError,
   createDisconnectSignal,
--- a/packages/entry/src/callers/follow_stream_test.ts
+++ b/packages/entry/src/callers/stream_follower_test.ts
@@ -11,7 +11,7 @@
 import type { CallOptions, PeerClient } from "@mallowlift/transport";
 import fc from "fast-check";
 import { test } from "tap";
-import { StreamFollower } from "./follow_stream.ts";
+import { StreamFollower } from "./stream_follower.ts";
 
 const SEED = 1;
 
