--- a/packages/bench/src/site/fakes_process.ts
+++ b/packages/bench/src/site/fakes_process.ts
@@ -1,4 +1,4 @@
-/** Starts the fakes of a site as a process of their own. */
+/** Starts the fake engines and services of a site in a separate process. */
 
 import { join } from "node:path";
 import type { FakeEngineOptions } from "@mallowlift/mocks";
@@ -9,12 +9,12 @@
 
 const HOST = "127.0.0.1";
 
-/** A running process with fakes. */
+/** A running process that serves fake engines and services. */
 export interface FakesProcess extends SiteUpstreams {
   readonly process: ManagedProcess;
 }
 
-/** Starts a process with so many engines and services. */
+/** Starts a process with the given numbers of fake engines and services. */
 export async function startFakes(options: {
   readonly name: string;
   readonly logFolder: string;
--- a/packages/bench/src/site/firnwatch_program.ts
+++ b/packages/bench/src/site/firnwatch_program.ts
@@ -1,4 +1,7 @@
-/** A program as a Firnwatch crew runs it: turns, a tool pause, a sub-agent, a stake reading. */
+/**
+ * The example program of a Firnwatch crew: model calls, a pause for a tool, a
+ * sub-agent, a streamed call and a service call that is sent twice.
+ */
 
 import { sleep } from "@mallowlift/core";
 import { SITE_MODEL, SITE_SERVICE } from "./seed_resources.ts";
@@ -6,21 +9,22 @@
 
 const TOOL_PAUSE_MILLISECONDS = 300;
 
-/** What a program did, for people. */
+/** Summary of a program run for display. */
 export interface ProgramReport {
   readonly program: string;
+  /** One line of text for each step. */
   readonly lines: readonly string[];
   readonly latencyMilliseconds: number;
 }
 
-/** Runs the program; throws at the first answer that is not what it should be. */
+/** Runs the program; throws at the first unexpected answer. */
 export async function runFirnwatchProgram(
   client: SiteClient,
   name: string,
 ): Promise<ProgramReport> {
   const startedAt = performance.now();
   const lines: string[] = [];
-  const created = check(
+  const created = requireStatus(
     await client.createProgram({
       request_id: name,
       priority: "crew-on-ice",
@@ -37,27 +41,30 @@
   ) {
     const answer = await client.callModel(
       program,
-      askModel(`${name}-${lines.length}`, question),
+      createModelRequest(`${name}-${lines.length}`, question),
     );
-    lines.push(describeAnswer("model", check(answer, 200)));
+    lines.push(describeAnswer("model", requireStatus(answer, 200)));
   }
   await sleep(TOOL_PAUSE_MILLISECONDS);
   lines.push(`tool: crew read the stake in ${TOOL_PAUSE_MILLISECONDS} ms`);
   const child = String(
-    check(await client.createChild(program, { request_id: `${name}-c` }), 201)
+    requireStatus(
+      await client.createChild(program, { request_id: `${name}-c` }),
+      201,
+    )
       .program,
   );
   const reconciled = await client.callModel(
     child,
-    askModel("reconcile", "Reconcile the transect"),
+    createModelRequest("reconcile", "Reconcile the transect"),
   );
-  lines.push(describeAnswer("sub-agent", check(reconciled, 200)));
-  check(await client.endProgram(child), 200);
+  lines.push(describeAnswer("sub-agent", requireStatus(reconciled, 200)));
+  requireStatus(await client.endProgram(child), 200);
   const streamed = await client.streamModel(
     program,
-    askModel("summary", "Summarise for the crew"),
+    createModelRequest("summary", "Summarise for the crew"),
   );
-  if (!streamed.whole) throw new Error("The stream was not whole");
+  if (!streamed.whole) throw new Error("The stream ended early");
   lines.push(`stream: ${streamed.text.trim()}`);
   const reading = { stake: 12, depth_mm: 1_840 };
   const write = {
@@ -65,32 +72,32 @@
     operation: "write-reading",
     payload: reading,
   };
-  const written = check(
+  const written = requireStatus(
     await client.callService(program, SITE_SERVICE, write),
     200,
   );
   lines.push(`stake reading: ${JSON.stringify(written.result)}`);
-  const again = check(
+  const again = requireStatus(
     await client.callService(program, SITE_SERVICE, write),
     200,
   );
   if (again.digest !== written.digest) {
-    throw new Error("The stake reading was repeated");
+    throw new Error("The repeated stake reading got a different answer");
   }
   lines.push(
     "stake reading sent again: the recorded answer came back, it did not run twice",
   );
-  const history = check(await client.readHistory(program), 200);
+  const history = requireStatus(await client.readHistory(program), 200);
   lines.push(
     `history: ${history.turns.length} turns, digest ${
       String(history.program.digest).slice(0, 12)
     }`,
   );
-  check(await client.endProgram(program), 200);
+  requireStatus(await client.endProgram(program), 200);
   return { program, lines, latencyMilliseconds: performance.now() - startedAt };
 }
 
-function askModel(requestId: string, question: string): object {
+function createModelRequest(requestId: string, question: string): object {
   return {
     request_id: requestId,
     model: SITE_MODEL,
@@ -99,10 +106,12 @@
   };
 }
 
-function check(answer: SiteAnswer, status: number) {
+function requireStatus(answer: SiteAnswer, status: number) {
   if (answer.status === status) return answer.body;
   throw new Error(
-    `Status ${answer.status}, not ${status}: ${JSON.stringify(answer.body)}`,
+    `Status ${answer.status} instead of ${status}: ${
+      JSON.stringify(answer.body)
+    }`,
   );
 }
 
--- a/packages/bench/src/site/free_ports.ts
+++ b/packages/bench/src/site/free_ports.ts
@@ -7,38 +7,38 @@
 const HOST = "127.0.0.1";
 
 /**
- * Ports below those that the system gives to outgoing connections: one of
- * those may be taken between the look and the use.
+ * The first port to use. The ports lie below the system's range for outgoing
+ * connections, where a port that was found free may be taken before it is used.
  */
 const FIRST_PORT = 16_384;
 const BLOCKS = 64;
 const PORTS_PER_BLOCK = 256;
 
-/** First port of the block that this process has taken. */
-let block: Promise<number> | undefined;
-/** The first port of a block is the lock that keeps others out of it. */
-let next = 1;
+/** The first port of the block that this process has reserved. */
+let reservedBlock: Promise<number> | undefined;
+/** Offset of the next port to try. Offset 0 is the lock that reserves the block. */
+let nextOffset = 1;
 
-/** Returns so many different free ports. */
+/** Returns the given number of distinct free ports. */
 export async function findFreePorts(count: number): Promise<readonly number[]> {
-  block ??= takeBlock();
-  const first = await block;
+  reservedBlock ??= reserveBlock();
+  const first = await reservedBlock;
   const ports: number[] = [];
   for (let tries = 0; ports.length < count; tries++) {
-    if (tries > PORTS_PER_BLOCK) throw new Error("Too few ports are free");
-    if (next === PORTS_PER_BLOCK) next = 1;
-    const port = first + next++;
+    if (tries > PORTS_PER_BLOCK) throw new Error("Too few free ports");
+    if (nextOffset === PORTS_PER_BLOCK) nextOffset = 1;
+    const port = first + nextOffset++;
     if (await isFree(port)) ports.push(port);
   }
   return ports;
 }
 
 /**
- * Takes a block for as long as this process lives. Test files run side by
- * side, and a daemon that a test has killed leaves its port free for a while,
- * which nobody else may take meanwhile.
+ * Reserves a block of ports until this process ends. Test files run in
+ * parallel: the port of a daemon that one test has killed and will start again
+ * is free for a while, and no other test may take it.
  */
-async function takeBlock(): Promise<number> {
+async function reserveBlock(): Promise<number> {
   for (let tries = 0; tries < BLOCKS; tries++) {
     const first = FIRST_PORT +
       ((process.pid + tries) % BLOCKS) * PORTS_PER_BLOCK;
@@ -47,10 +47,10 @@
     lock.unref();
     return first;
   }
-  throw new Error("Other processes have taken every block of ports");
+  throw new Error("All blocks of ports are reserved by other processes");
 }
 
-/** Returns the port if it is free, and another one if not. */
+/** Returns the given port if it is free, and otherwise another free port. */
 export async function findPortNear(port: number): Promise<number> {
   if (await isFree(port)) return port;
   return (await findFreePorts(1))[0] ?? 0;
@@ -65,7 +65,7 @@
   return true;
 }
 
-/** Listens on a port; undefined if it is taken. */
+/** Listens on a port; returns undefined if the port is in use. */
 async function listen(port: number): Promise<Server | undefined> {
   const server: Server = createServer();
   const opened = createDeferred<boolean>();
--- a/packages/bench/src/site/managed_process.ts
+++ b/packages/bench/src/site/managed_process.ts
@@ -1,11 +1,11 @@
-/** One process of a site, started and ended by its id. */
+/** Starts, signals and stops one process of a site. */
 
 import { type ChildProcess, spawn } from "node:child_process";
 import { closeSync, openSync } from "node:fs";
 import process from "node:process";
 import { createDeferred, type Deferred } from "@mallowlift/core";
 
-/** How to start a process. */
+/** Name, script and log file of a process. */
 export interface ProcessPlan {
   readonly name: string;
   readonly script: string;
@@ -16,8 +16,8 @@
 const RUNNING = new Set<ChildProcess>();
 let isWatchingExit = false;
 
-/** Ends what this process has started, whichever way it ends itself. */
-function endWithThisProcess(child: ChildProcess): void {
+/** Kills the child when this process exits for any reason. */
+function killOnExit(child: ChildProcess): void {
   RUNNING.add(child);
   child.once("exit", () => RUNNING.delete(child));
   if (isWatchingExit) return;
@@ -27,7 +27,7 @@
   });
 }
 
-/** A process that can be started again after it has ended. */
+/** A process that can be restarted after it has exited. */
 export class ManagedProcess {
   readonly plan: ProcessPlan;
   #child: ChildProcess | undefined;
@@ -37,7 +37,7 @@
     this.plan = plan;
   }
 
-  /** Process id; undefined if it does not run. */
+  /** Process id; undefined if the process was never started. */
   get pid(): number | undefined {
     return this.#child?.pid;
   }
@@ -58,37 +58,37 @@
       ...this.plan.scriptArguments,
     ], {
       stdio: ["ignore", log, log],
-      // Ctrl-C reaches the starter alone, which stops its processes in order.
+      // Ctrl-C must reach only the parent, which stops its children in order.
       detached: true,
     });
     closeSync(log);
     const exited = createDeferred<number>();
-    endWithThisProcess(child);
+    killOnExit(child);
     this.#child = child;
     this.#exited = exited;
     child.once("exit", (code) => exited.resolve(code ?? -1));
     child.once("error", () => exited.resolve(-1));
   }
 
-  /** Sends a signal to this very process. */
+  /** Sends a signal to the process if it is running. */
   signal(signal: NodeJS.Signals): void {
     if (this.isRunning) this.#child?.kill(signal);
   }
 
-  /** Resolves with the exit code; -1 after a signal. */
+  /** Resolves with the exit code, or -1 if a signal ended the process. */
   async waitForExit(): Promise<number> {
     if (this.#child === undefined) return 0;
     return await this.#exited.promise;
   }
 
-  /** Ends the process at once. */
+  /** Kills the process with SIGKILL and waits until it has exited. */
   async kill(): Promise<void> {
     if (!this.isRunning) return;
     this.signal("SIGKILL");
     await this.waitForExit();
   }
 
-  /** Asks the process to stop and waits for it. */
+  /** Sends SIGTERM, also to a suspended process, and waits for the exit code. */
   async stop(): Promise<number> {
     if (!this.isRunning) return 0;
     this.signal("SIGCONT");
@@ -97,7 +97,7 @@
   }
 }
 
-/** With SITE_PROFILE_FOLDER set, each process leaves a profile there. */
+/** If SITE_PROFILE_FOLDER is set, each process writes a CPU profile there. */
 function listProfileArguments(): readonly string[] {
   const folder = process.env.SITE_PROFILE_FOLDER;
   if (folder === undefined) return [];
--- a/packages/bench/src/site/previous_run.ts
+++ b/packages/bench/src/site/previous_run.ts
@@ -1,21 +1,24 @@
-/** Ends what an earlier run of the example site left behind, and nothing else. */
+/** Kills processes that an earlier run of the example site left running. */
 
 import { existsSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import process from "node:process";
 
-/** Notes the ids of this run's processes. */
-export function notePids(folder: string, pids: readonly number[]): void {
+/** Writes the process ids of this run to a file in the folder. */
+export function recordPids(folder: string, pids: readonly number[]): void {
   writeFileSync(join(folder, "pids.json"), JSON.stringify(pids));
 }
 
-/** Ends processes of an earlier run that still run with settings of this folder. */
-export function endPreviousRun(folder: string): number {
+/**
+ * Kills the recorded processes of an earlier run that are still running;
+ * returns how many it killed.
+ */
+export function killPreviousRun(folder: string): number {
   const path = join(folder, "pids.json");
   if (!existsSync(path)) return 0;
   let ended = 0;
   for (const pid of readPids(path)) {
-    if (!isOurs(pid, folder)) continue;
+    if (!isSiteProcess(pid, folder)) continue;
     process.kill(pid, "SIGKILL");
     ended++;
   }
@@ -32,8 +35,11 @@
   }
 }
 
-/** The id may belong to another program by now, so its command line decides. */
-function isOurs(pid: number, folder: string): boolean {
+/**
+ * Checks the command line of a process, because the system may have given its
+ * id to an unrelated program.
+ */
+function isSiteProcess(pid: number, folder: string): boolean {
   try {
     const words = readFileSync(`/proc/${pid}/cmdline`, "utf8").split("\0");
     const isDaemon = words.some((word) =>
--- a/packages/bench/src/site/run_fakes.ts
+++ b/packages/bench/src/site/run_fakes.ts
@@ -1,4 +1,4 @@
-/** Process that runs fake engines and fake services at the ports it is given. */
+/** Entry point of a process that serves fake engines and services on given ports. */
 
 import process from "node:process";
 import {
@@ -9,7 +9,7 @@
 
 const HOST = "127.0.0.1";
 
-/** What the process is told, as JSON in its first argument. */
+/** Configuration of the process: the JSON in its first argument. */
 export interface FakesPlan {
   readonly enginePorts: readonly number[];
   readonly servicePorts: readonly number[];
--- a/packages/bench/src/site/seed_resources.ts
+++ b/packages/bench/src/site/seed_resources.ts
@@ -1,21 +1,21 @@
-/** Resources of the example site: two rival outfits, models and services. */
+/** Creates the resources of the example site: two outfits, models and services. */
 
 import { hashText, sleep } from "@mallowlift/core";
 import type { SiteClient } from "./site_client.ts";
 
 const RETRY_MILLISECONDS = 100;
-const SEED_MILLISECONDS = 30_000;
+const WRITE_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Tokens of the two outfits of an example site. */
+/** Bearer tokens of the two outfits of the example site. */
 export const OUTFIT_TOKENS = {
   NORTH: "north-token",
   SOUTH: "south-token",
 } as const;
 
-/** Model of an example site. */
+/** Name of the model of the example site. */
 export const SITE_MODEL = "field-guide";
 
-/** Service of an example site. */
+/** Name of the service of the example site. */
 export const SITE_SERVICE = "stake-records";
 
 interface SeedResource {
@@ -24,12 +24,15 @@
   readonly spec: object;
 }
 
-/** Writes every resource that an example site needs. */
+/**
+ * Writes all resources of the example site. Retries each write for up to 30
+ * seconds, then throws.
+ */
 export async function seedResources(
   client: SiteClient,
   options: { readonly engines: number; readonly services: number },
 ): Promise<void> {
-  for (const resource of listResources(options)) await seed(client, resource);
+  for (const resource of listResources(options)) await write(client, resource);
 }
 
 function listResources(
@@ -70,8 +73,11 @@
   return resources;
 }
 
-async function seed(client: SiteClient, resource: SeedResource): Promise<void> {
-  const deadline = Date.now() + SEED_MILLISECONDS;
+async function write(
+  client: SiteClient,
+  resource: SeedResource,
+): Promise<void> {
+  const deadline = Date.now() + WRITE_TIMEOUT_MILLISECONDS;
   for (;;) {
     try {
       const answer = await client.applyResource(
@@ -81,10 +87,10 @@
       );
       if (answer.status === 200) return;
     } catch {
-      // The entry may not listen yet.
+      // The entry may not be listening yet.
     }
     if (Date.now() > deadline) {
-      throw new Error(`Could not write ${resource.kind} ${resource.name}`);
+      throw new Error(`Writing ${resource.kind} ${resource.name} timed out`);
     }
     await sleep(RETRY_MILLISECONDS);
   }
--- a/packages/bench/src/site/site.ts
+++ b/packages/bench/src/site/site.ts
@@ -1,4 +1,4 @@
-/** A small site on the loopback address, as separate processes. */
+/** Runs a small site on the loopback address, each daemon in its own process. */
 
 import { mkdirSync, rmSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -20,16 +20,16 @@
 
 const HOST = "127.0.0.1";
 const DAEMON_SCRIPT = require.resolve("@mallowlift/daemon/bin/mallowlift.js");
-const READY_MILLISECONDS = 30_000;
-const LOOK_MILLISECONDS = 50;
+const HEALTHY_TIMEOUT_MILLISECONDS = 30_000;
+const HEALTH_POLL_MILLISECONDS = 50;
 
-/** Addresses of the upstreams that the sidecars stand beside. */
+/** Addresses of the upstreams that the sidecars serve. */
 export interface SiteUpstreams {
   readonly engineUrls: readonly string[];
   readonly serviceUrls: readonly string[];
 }
 
-/** A proxy between one daemon and another. */
+/** A fault-injecting proxy on the link from one daemon to another. */
 export interface SiteProxy {
   readonly source: string;
   readonly target: string;
@@ -42,7 +42,7 @@
   readonly process: ManagedProcess;
 }
 
-/** A site. */
+/** A site of entries, replicas and sidecars. */
 export class Site {
   readonly plan: SitePlan;
   readonly proxies: SiteProxy[] = [];
@@ -66,21 +66,21 @@
   /** Returns a daemon by its name, such as replica-1. */
   get(name: string): SiteDaemon {
     const daemon = this.#daemons.get(name);
-    if (daemon === undefined) throw new Error(`There is no daemon ${name}`);
+    if (daemon === undefined) throw new Error(`The site has no daemon ${name}`);
     return daemon;
   }
 
-  /** Folder of a replica's data. */
+  /** Returns the data folder of a replica. */
   findDataFolder(name: string): string {
     return join(this.plan.folder, "data", name);
   }
 
-  /** Removes the data of a replica that does not run. */
+  /** Deletes the data of a replica, which must not be running. */
   loseData(name: string): void {
     rmSync(this.findDataFolder(name), { recursive: true, force: true });
   }
 
-  /** Writes all settings and starts all daemons; does not wait for health. */
+  /** Writes all settings and starts all daemons without waiting until they are healthy. */
   async start(upstreams: SiteUpstreams): Promise<void> {
     for (const folder of ["settings", "logs", "data"]) {
       mkdirSync(join(this.plan.folder, folder), { recursive: true });
@@ -89,21 +89,24 @@
     for (const daemon of this.#daemons.values()) daemon.process.start();
   }
 
-  /** Waits until every daemon is healthy; throws if that takes too long. */
+  /**
+   * Waits until the named daemons, or all daemons, are healthy; throws after 30
+   * seconds.
+   */
   async waitUntilHealthy(names?: readonly string[]): Promise<void> {
-    const deadline = Date.now() + READY_MILLISECONDS;
+    const deadline = Date.now() + HEALTHY_TIMEOUT_MILLISECONDS;
     const wanted = names ?? [...this.#daemons.keys()];
     for (const name of wanted) {
       while (!await this.isHealthy(name)) {
         if (Date.now() > deadline) {
           throw new Error(`Daemon ${name} did not become healthy`);
         }
-        await sleep(LOOK_MILLISECONDS);
+        await sleep(HEALTH_POLL_MILLISECONDS);
       }
     }
   }
 
-  /** Asks a daemon for its health. */
+  /** Returns true if the daemon's health endpoint answers with 200. */
   async isHealthy(name: string): Promise<boolean> {
     const { healthPort } = this.get(name).plan;
     try {
@@ -128,14 +131,14 @@
     return String(answer.payload);
   }
 
-  /** Proxies to and from a replica. */
+  /** Returns the proxies on links to and from a daemon. */
   listProxies(name: string): readonly SiteProxy[] {
     return this.proxies.filter((known) =>
       known.source === name || known.target === name
     );
   }
 
-  /** Stops all daemons: entries first, so that no request is cut off. */
+  /** Stops all daemons, entries first so that no request is interrupted. */
   async stop(): Promise<void> {
     for (const role of ["entry", "sidecar", "replica"]) {
       const stopping = this.daemons.filter((daemon) =>
@@ -146,7 +149,7 @@
     for (const { proxy } of this.proxies) await proxy.stop();
   }
 
-  /** Ends all daemons at once. */
+  /** Kills all daemons with SIGKILL. */
   async kill(): Promise<void> {
     await Promise.all(this.daemons.map((daemon) => daemon.process.kill()));
     for (const { proxy } of this.proxies) await proxy.stop();
@@ -260,7 +263,10 @@
     this.#daemons.set(name, { plan: { ...daemon, sections }, process });
   }
 
-  /** Each daemon has its own proxy to each replica, so that one pair can be cut. */
+  /**
+   * Returns the replica addresses for one daemon. In a proxied site each daemon
+   * has its own proxy to each replica, so that a single link can be cut.
+   */
   async #planReplicas(
     source: string,
     replicaPorts: readonly number[],
--- a/packages/bench/src/site/site_client.ts
+++ b/packages/bench/src/site/site_client.ts
@@ -1,4 +1,4 @@
-/** Calls a site as its callers and operators do, over HTTP. */
+/** HTTP client for the API of an entry, for callers and operators. */
 
 import { Agent } from "node:http";
 import type { Buffer } from "node:buffer";
@@ -7,24 +7,24 @@
 
 const TIMEOUT_MILLISECONDS = 60_000;
 
-/** An answer with its status. */
+/** HTTP status and decoded body of an answer. */
 export interface SiteAnswer {
   readonly status: number;
   // deno-lint-ignore no-explicit-any -- tests and examples read many shapes
   readonly body: any;
 }
 
-/** A streamed answer, as it came. */
+/** A streamed answer with the arrival times of its chunks. */
 export interface StreamedAnswer extends SiteAnswer {
-  /** Text of all chunks. */
+  /** The concatenated text of all chunks. */
   readonly text: string;
-  /** When each chunk came, in milliseconds since the call. */
+  /** Arrival time of each chunk, in milliseconds since the call. */
   readonly chunkTimes: readonly number[];
-  /** True if the end mark came. */
+  /** True if the end marker `[DONE]` arrived. */
   readonly whole: boolean;
 }
 
-/** What to send. */
+/** One HTTP request. */
 export interface SiteRequest {
   readonly method: string;
   readonly path: string;
@@ -33,7 +33,7 @@
   readonly timeoutMilliseconds?: number;
 }
 
-/** Calls one entry. */
+/** A client of one entry. */
 export class SiteClient {
   readonly #url: string;
   readonly #token: string;
@@ -44,12 +44,12 @@
     this.#token = token;
   }
 
-  /** Closes kept connections. */
+  /** Closes idle keep-alive connections. */
   close(): void {
     this.#agent.destroy();
   }
 
-  /** Sends a request and reads the whole answer; throws if the connection breaks. */
+  /** Sends a request and reads the complete answer; throws if the connection fails. */
   async send(request: SiteRequest): Promise<SiteAnswer> {
     const answer = await this.#open(request);
     const text = String(
@@ -75,13 +75,13 @@
     });
   }
 
-  /** Calls a model and waits for the whole answer. */
+  /** Calls a model and waits for the complete answer. */
   async callModel(program: string, body: object): Promise<SiteAnswer> {
     const path = `/v1/programs/${program}/chat/completions`;
     return await this.send({ method: "POST", path, body });
   }
 
-  /** Calls a model and reads the stream. */
+  /** Calls a model and reads the streamed answer. */
   async streamModel(program: string, body: object): Promise<StreamedAnswer> {
     const startedAt = performance.now();
     const answer = await this.#open({
@@ -123,7 +123,7 @@
     });
   }
 
-  /** Writes a resource as an operator, whatever its version is now. */
+  /** Reads the current version of a resource and replaces it, as an operator. */
   async applyResource(
     kind: string,
     name: string,
--- a/packages/bench/src/site/site_plan.ts
+++ b/packages/bench/src/site/site_plan.ts
@@ -1,13 +1,13 @@
-/** The daemons of a small site, and the text of their settings files. */
+/** Describes the daemons of a small site and formats their settings files. */
 
 import { stringify } from "ini";
 
-/** Sections of a settings file. */
+/** Values of a settings file by section and name. */
 export type SettingsSections = Readonly<
   Record<string, Readonly<Record<string, string | number>>>
 >;
 
-/** What kind of site is wanted. */
+/** Size and options of a site. */
 export interface SitePlan {
   /** Folder for settings, logs and data. */
   readonly folder: string;
@@ -17,15 +17,15 @@
   readonly engines: number;
   readonly services: number;
   readonly programGroups: number;
-  /** Ports of the entries; free ones where missing. */
+  /** HTTP ports of the entries; a free port is chosen for each missing one. */
   readonly httpPorts: readonly number[];
-  /** True to put a fault-injecting proxy before every replica and sidecar. */
+  /** True to put a fault-injecting proxy in front of every replica and sidecar. */
   readonly proxied: boolean;
-  /** Settings that differ from the site's own, for all daemons. */
+  /** Values that replace generated settings, in all daemons. */
   readonly overrides: SettingsSections;
 }
 
-/** A small site, unless said otherwise. */
+/** Defaults for missing options of a {@linkcode SitePlan}. */
 export const DEFAULT_SITE: SitePlan = {
   folder: ".site",
   replicas: 3,
@@ -39,13 +39,13 @@
   overrides: {},
 };
 
-/** Failure domains of the Java highland. */
+/** Names of the failure domains of an example site. */
 export const FAILURE_DOMAINS = ["hall-kawah", "hall-lereng", "hall-puncak"];
 
-/** Key that the daemons of an example site prove to each other. */
+/** Shared key with which the daemons of an example site authenticate each other. */
 export const SITE_KEY = "example-site-key";
 
-/** Token of the operators of an example site. */
+/** Bearer token of the operators of an example site. */
 export const OPERATOR_TOKEN = "operator-token";
 
 /** One daemon of a site. */
@@ -57,7 +57,7 @@
   readonly sections: SettingsSections;
 }
 
-/** Returns the text of a settings file. */
+/** Formats a settings file; overrides of missing sections are ignored. */
 export function formatSettings(
   sections: SettingsSections,
   overrides: SettingsSections,
--- a/packages/bench/src/site/start.ts
+++ b/packages/bench/src/site/start.ts
@@ -1,4 +1,4 @@
-/** `npm start`: the example site, one program through it, then serving until Ctrl-C. */
+/** `npm start`: starts the example site, runs one program and serves until Ctrl-C. */
 
 import { mkdirSync } from "node:fs";
 import { join, resolve } from "node:path";
@@ -8,7 +8,7 @@
 import { type FakesProcess, startFakes } from "./fakes_process.ts";
 import { runFirnwatchProgram } from "./firnwatch_program.ts";
 import { findPortNear } from "./free_ports.ts";
-import { endPreviousRun, notePids } from "./previous_run.ts";
+import { killPreviousRun, recordPids } from "./previous_run.ts";
 import { OUTFIT_TOKENS, seedResources } from "./seed_resources.ts";
 import { Site } from "./site.ts";
 import { SiteClient } from "./site_client.ts";
@@ -30,8 +30,8 @@
     .opts<{ once?: boolean; folder: string }>();
   const folder = resolve(options.folder);
   mkdirSync(join(folder, "logs"), { recursive: true });
-  const ended = endPreviousRun(folder);
-  if (ended > 0) print(`Ended ${ended} processes of an earlier run`);
+  const ended = killPreviousRun(folder);
+  if (ended > 0) print(`Killed ${ended} processes of an earlier run`);
   const stopped = createDeferred<void>();
   process.once("SIGINT", () => stopped.resolve(undefined));
   process.once("SIGTERM", () => stopped.resolve(undefined));
@@ -71,7 +71,7 @@
   });
   await site.start(fakes);
   const pids = site.daemons.map((daemon) => daemon.process.pid ?? 0);
-  notePids(folder, [...pids, fakes.process.pid ?? 0]);
+  recordPids(folder, [...pids, fakes.process.pid ?? 0]);
   return { site, fakes };
 }
 
