--- a/packages/bench/src/slopes/bench_slopes.ts
+++ b/packages/bench/src/slopes/bench_slopes.ts
@@ -1,11 +1,11 @@
-/** `npm run bench:slopes`: measures the slopes that docs/CAPACITY.md rests on. */
+/** `npm run bench:slopes`: measures the samples behind the slopes in docs/CAPACITY.md. */
 
 import { mkdirSync, writeFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
 import process from "node:process";
 import { measureDimensions } from "./dimensions.ts";
 
-/** Where the recorded slopes are kept. */
+/** Path of the recorded samples. */
 export const SLOPES_PATH = resolve("docs", "results", "slopes.json");
 
 function print(line: string): void {
--- a/packages/bench/src/slopes/capacity_model.ts
+++ b/packages/bench/src/slopes/capacity_model.ts
@@ -1,10 +1,10 @@
-/** What each role needs at the two-year target, from the recorded slopes. */
+/** Extrapolates the resource use of each role at the two-year target from measured slopes. */
 
 import type { DaemonSample } from "./daemon_sample.ts";
 import type { DimensionResult } from "./dimensions.ts";
 import { fitLine, type FittedLine } from "./fit_line.ts";
 
-/** Sizes of the two-year target, and what had to be assumed of them. */
+/** Sizes at the two-year target; assumed sizes are marked. */
 export const TARGET = {
   daemons: 390,
   servers: 600,
@@ -13,15 +13,15 @@
   programs: 37_000,
   historyTokens: 230_000,
   bytesPerToken: 4,
-  /** Assumed: share of the longest history that a program has on average. */
+  /** Assumed: mean length of a history as a share of the longest. */
   meanHistoryShare: 0.2,
-  /** Assumed: one resource for each workspace, server and model. */
+  /** Assumed: one resource per workspace, server and model. */
   resources: 12_000 + 600 + 22,
-  /** Assumed: program groups that are led evenly by three replicas. */
+  /** Assumed: number of program groups; three replicas lead equal numbers of them. */
   programGroups: 12,
 } as const;
 
-/** What a daemon may spend on control. */
+/** Upper bounds of what one daemon may use for control. */
 export const BUDGET = {
   corePercent: 2.5,
   residentMebibytes: 256,
@@ -29,14 +29,14 @@
   inForceMilliseconds: 11_000,
 } as const;
 
-/** Assumed: what one replica on an instance set aside may take. */
+/** Assumed: upper bounds for one replica on a dedicated instance. */
 export const REPLICA_LIMITS = {
   corePercent: 100,
   residentMebibytes: 8_192,
   kilobytesPerSecond: 100_000,
 } as const;
 
-/** What is measured of a daemon. */
+/** Names of the measured quantities of a daemon. */
 export const MEASURES = [
   "corePercent",
   "residentMebibytes",
@@ -46,7 +46,7 @@
 /** One of {@linkcode MEASURES}. */
 export type Measure = typeof MEASURES[number];
 
-/** One share of one part's need. */
+/** Extrapolated use of one measure by one part, as far as one dimension causes it. */
 export interface CapacityRow {
   readonly part: string;
   readonly measure: Measure;
@@ -55,12 +55,13 @@
   /** Largest size that was measured. */
   readonly measuredSize: number;
   readonly line: FittedLine;
-  /** Slope times target size. */
+  /** The slope multiplied by the target size. */
   readonly value: number;
+  /** Standard error of the slope multiplied by the target size. */
   readonly error: number;
 }
 
-/** Size of each dimension at the target, for one daemon of a part. */
+/** Size of each dimension at the target, for the whole site. */
 const TARGET_SIZES: Readonly<Record<string, number>> = {
   followers: TARGET.daemons,
   sidecars: TARGET.daemons,
@@ -72,17 +73,17 @@
   groups: TARGET.programGroups,
 };
 
-/** An entry or a sidecar carries only its share of the calls. */
+/** Parts of which each daemon handles an equal share of all calls. */
 const SHARED_PARTS = ["entry", "sidecar"];
 
-/** Returns the size of a dimension at the target, as one part sees it. */
+/** Returns the size of a dimension at the target for one daemon of a part. */
 export function findTargetSize(part: string, dimension: string): number {
   const size = TARGET_SIZES[dimension] ?? 0;
   const isShared = dimension === "calls" && SHARED_PARTS.includes(part);
   return isShared ? size / TARGET.daemons : size;
 }
 
-/** Works out every share of one part and measure. */
+/** Extrapolates one measure of one part over every dimension. */
 export function createRows(
   dimensions: readonly DimensionResult[],
   part: string,
@@ -110,7 +111,7 @@
   return rows;
 }
 
-/** What a daemon of a part needs with nothing to do, from the smallest sizes. */
+/** Returns the mean use of an idle daemon of a part: the samples at size 0. */
 export function findIdle(
   dimensions: readonly DimensionResult[],
   part: string,
@@ -127,7 +128,7 @@
 ): DaemonSample {
   const sample = samples.find((known) => known.name === part);
   if (sample === undefined) {
-    throw new Error(`The results have no sample of ${part}`);
+    throw new Error(`The results lack a sample of ${part}`);
   }
   return sample;
 }
--- a/packages/bench/src/slopes/capacity_page.ts
+++ b/packages/bench/src/slopes/capacity_page.ts
@@ -1,4 +1,4 @@
-/** `npm run capacity`: writes docs/CAPACITY.md from the recorded slopes. */
+/** `npm run capacity`: writes docs/CAPACITY.md from the recorded samples. */
 
 import { readFileSync, writeFileSync } from "node:fs";
 import { resolve } from "node:path";
@@ -31,7 +31,7 @@
   kilobytesPerSecond: "KB/s",
 };
 
-/** Shares that a daemon carries besides its calls; calls are not control. */
+/** Dimensions that count as control, unlike calls. */
 const CONTROL_DIMENSIONS = ["followers", "sidecars", "resources", "groups"];
 
 interface Page {
@@ -39,7 +39,7 @@
   readonly lines: string[];
 }
 
-/** Returns the whole page. */
+/** Returns the text of the page. */
 export function createCapacityPage(
   dimensions: readonly DimensionResult[],
 ): string {
@@ -52,7 +52,7 @@
   return page.lines.join("\n");
 }
 
-/** Entries and sidecars: control only, against the budget of a daemon. */
+/** Compares the control of entries and sidecars with the budget of a daemon. */
 function addControlTable(page: Page): void {
   page.lines.push(
     "## Control at each entry and sidecar",
@@ -80,7 +80,7 @@
   page.lines.push("");
 }
 
-/** Replicas: every share by its dimension, on the instances set aside. */
+/** Lists the use of a replica on a dedicated instance by dimension. */
 function addReplicaTable(page: Page): void {
   page.lines.push(
     "## Shares of a replica at the target",
--- a/packages/bench/src/slopes/capacity_texts.ts
+++ b/packages/bench/src/slopes/capacity_texts.ts
@@ -1,6 +1,6 @@
-/** The parts of docs/CAPACITY.md that are not figures. */
+/** Fixed texts of docs/CAPACITY.md. */
 
-/** What the page is. */
+/** Introduction of the page. */
 export const CAPACITY_INTRODUCTION = `# Capacity
 
 What each role needs at the two-year target: 390 daemons before 600 servers on
@@ -14,7 +14,7 @@
 noisy, so a slope within its own standard error is marked as noise.
 `;
 
-/** What carries each share, and what would where it is missing. */
+/** The mechanism behind each dimension, and the alternative where it exceeds the limit. */
 export const MECHANISMS: Readonly<Record<string, string>> = {
   followers: "long polls of one second at the configuration leader; " +
     "where that is missing: relays per failure domain, which poll for their daemons",
@@ -35,7 +35,7 @@
     "for all groups of a pair",
 };
 
-/** What had to be assumed. */
+/** Section on the assumptions. */
 export const CAPACITY_ASSUMPTIONS = `## Assumed
 
 - A program has on average a fifth of the longest history (46,000 tokens of 4
@@ -50,7 +50,7 @@
   in the slopes.
 `;
 
-/** What happens on ordinary and bad days. */
+/** Section on ordinary changes and on failures. */
 export const CAPACITY_EVENTS = `## Events
 
 None of the rows below was measured at the target's size.
@@ -65,7 +65,7 @@
 | 380 changes a day | one commit each; long polls wake at once | built; measured above |
 `;
 
-/** What the users' own bench showed of sites of gateways and stores. */
+/** Section on measurements of gateways and stores with the users' own bench. */
 export const CAPACITY_SWEEPS =
   `## Sites of gateways and stores: days at 30, 100 and 300 instances
 
--- a/packages/bench/src/slopes/crowds.ts
+++ b/packages/bench/src/slopes/crowds.ts
@@ -1,4 +1,7 @@
-/** Many followers and reporters in one process, each with connections of its own. */
+/**
+ * Simulates many daemons in one process: configuration followers and reporting
+ * sidecars, each with its own connections.
+ */
 
 import { ConfigurationFollower } from "@mallowlift/configuration";
 import {
@@ -13,27 +16,27 @@
 import type { Site } from "../site/site.ts";
 import { SITE_KEY } from "../site/site_plan.ts";
 
-const HOLD_MILLISECONDS = 1_000;
+const POLL_HOLD_MILLISECONDS = 1_000;
 const REPORT_MILLISECONDS = 500;
-const IN_FORCE_MILLISECONDS = 30_000;
+const IN_FORCE_TIMEOUT_MILLISECONDS = 30_000;
 
-interface Member {
+interface SimulatedDaemon {
   readonly links: PeerLinks;
   stop(): void;
 }
 
-/** Daemons that only follow the configuration, or only report. */
-export class Crowd {
+/** Simulated daemons that only follow the configuration or only send reports. */
+export class SimulatedDaemons {
   readonly #site: Site;
   readonly #metrics: Metrics = createMetrics();
-  readonly #members: Member[] = [];
+  readonly #daemons: SimulatedDaemon[] = [];
   readonly #followers: ConfigurationFollower[] = [];
 
   constructor(site: Site) {
     this.#site = site;
   }
 
-  /** Adds followers until there are so many. */
+  /** Adds followers up to the given count. */
   growFollowers(count: number): void {
     while (this.#followers.length < count) {
       const name = `crowd-${this.#followers.length}`;
@@ -42,20 +45,20 @@
         daemonId: name,
         bootId: name,
         replicas: this.#listReplicas(links),
-        holdMilliseconds: HOLD_MILLISECONDS,
+        holdMilliseconds: POLL_HOLD_MILLISECONDS,
         logger: SILENT_LOGGER,
         metrics: this.#metrics,
       });
       follower.start();
       this.#followers.push(follower);
-      this.#members.push({ links, stop: () => follower.stop() });
+      this.#daemons.push({ links, stop: () => follower.stop() });
     }
   }
 
-  /** Adds reporting sidecars until there are so many. */
+  /** Adds reporting sidecars until the count of simulated daemons is reached. */
   growReporters(count: number): void {
-    while (this.#members.length < count) {
-      const name = `crowd-${this.#members.length}`;
+    while (this.#daemons.length < count) {
+      const name = `crowd-${this.#daemons.length}`;
       const links = this.#createLinks(name);
       const reporter = new Reporter({
         replicas: this.#listReplicas(links),
@@ -64,26 +67,27 @@
         logger: SILENT_LOGGER,
       });
       reporter.start();
-      this.#members.push({ links, stop: () => reporter.stop() });
+      this.#daemons.push({ links, stop: () => reporter.stop() });
     }
   }
 
-  /** Milliseconds until every follower has a revision in force. */
+  /** Returns the milliseconds until every follower has applied a revision, at most about 30 s. */
   async measureInForce(revision: number): Promise<number> {
     const startedAt = performance.now();
     const isInForce = () =>
       this.#followers.every((follower) => follower.view.revision >= revision);
     while (
-      !isInForce() && performance.now() - startedAt < IN_FORCE_MILLISECONDS
+      !isInForce() &&
+      performance.now() - startedAt < IN_FORCE_TIMEOUT_MILLISECONDS
     ) await sleep(5);
     return performance.now() - startedAt;
   }
 
-  /** Ends all members. */
+  /** Stops all simulated daemons and closes their connections. */
   stop(): void {
-    for (const member of this.#members) {
-      member.stop();
-      member.links.stop();
+    for (const daemon of this.#daemons) {
+      daemon.stop();
+      daemon.links.stop();
     }
   }
 
--- a/packages/bench/src/slopes/daemon_sample.ts
+++ b/packages/bench/src/slopes/daemon_sample.ts
@@ -1,4 +1,4 @@
-/** What each daemon of a site uses over a while. */
+/** Measures the processor time, memory and traffic of daemons of a site. */
 
 import { sleep } from "@mallowlift/core";
 import { readUsage } from "../measure/process_usage.ts";
@@ -6,12 +6,12 @@
 
 const BYTES_PER_KILOBYTE = 1_000;
 
-/** Use of one daemon, averaged over the time of the sample. */
+/** Resource use of one daemon over the duration of a sample. */
 export interface DaemonSample {
   readonly name: string;
   readonly corePercent: number;
   readonly residentMebibytes: number;
-  /** Bytes a second on connections to other daemons, both ways. */
+  /** Traffic with other daemons in both directions, in kB a second. */
   readonly kilobytesPerSecond: number;
 }
 
@@ -22,7 +22,7 @@
   readonly at: number;
 }
 
-/** Samples some daemons of a site. */
+/** Measures the named daemons for the given number of seconds. */
 export async function sampleDaemons(
   site: Site,
   names: readonly string[],
@@ -36,7 +36,7 @@
   );
 }
 
-/** Averages samples of daemons that play the same part. */
+/** Averages the samples of daemons with the same role. */
 export function averageSamples(
   name: string,
   samples: readonly DaemonSample[],
--- a/packages/bench/src/slopes/dimensions.ts
+++ b/packages/bench/src/slopes/dimensions.ts
@@ -1,4 +1,4 @@
-/** The sizes that a site is measured at, one dimension at a time. */
+/** Measures a site at several sizes of one dimension at a time. */
 
 import { mkdirSync, rmSync } from "node:fs";
 import { join, resolve } from "node:path";
@@ -14,7 +14,7 @@
 import { Site } from "../site/site.ts";
 import { SiteClient } from "../site/site_client.ts";
 import { OPERATOR_TOKEN } from "../site/site_plan.ts";
-import { Crowd } from "./crowds.ts";
+import { SimulatedDaemons } from "./crowds.ts";
 import {
   averageSamples,
   type DaemonSample,
@@ -26,31 +26,31 @@
 const REPLICAS = ["replica-1", "replica-2", "replica-3"];
 const PARALLEL = 32;
 
-/** What was measured at one size. */
+/** Measurements at one size. */
 export interface SizeSample {
   readonly size: number;
-  /** Samples by part: leader of the measured group or groups, replica, entry, sidecar. */
+  /** Mean samples of the configuration leader, the replicas, the entry and a sidecar. */
   readonly samples: readonly DaemonSample[];
-  /** Time until a change was in force everywhere, where that was measured. */
+  /** Time until every follower had applied a change; missing in other dimensions. */
   readonly inForceMilliseconds?: number;
 }
 
-/** What was measured over one dimension. */
+/** Measurements over all sizes of one dimension. */
 export interface DimensionResult {
   readonly dimension: string;
   readonly unit: string;
   readonly sizes: readonly SizeSample[];
 }
 
-/** A running site for one dimension. */
-interface Bed {
+/** A running site with its fake engines and a client. */
+interface BenchSite {
   readonly site: Site;
   readonly fakes: FakesProcess;
   readonly client: SiteClient;
   stop(): Promise<void>;
 }
 
-/** Measures all dimensions, one after the other. */
+/** Measures all dimensions one after another and prints their sizes. */
 export async function measureDimensions(
   print: (line: string) => void,
 ): Promise<readonly DimensionResult[]> {
@@ -77,7 +77,10 @@
   return results;
 }
 
-async function startBed(name: string, programGroups = 4): Promise<Bed> {
+async function startBenchSite(
+  name: string,
+  programGroups = 4,
+): Promise<BenchSite> {
   const folder = resolve(".site", `slopes-${name}`);
   rmSync(folder, { recursive: true, force: true });
   mkdirSync(join(folder, "logs"), { recursive: true });
@@ -111,12 +114,12 @@
   return { site, fakes, client, stop };
 }
 
-/** Samples the replica that leads the configuration apart from the others. */
-async function sampleParts(bed: Bed): Promise<readonly DaemonSample[]> {
+/** Samples each part; the leader of the configuration group is also listed separately. */
+async function sampleParts(bench: BenchSite): Promise<readonly DaemonSample[]> {
   await sleep(SETTLE_MILLISECONDS);
-  const leader = await findConfigurationLeader(bed);
+  const leader = await findConfigurationLeader(bench);
   const names = [...REPLICAS, "entry-1", "engine-1"];
-  const samples = await sampleDaemons(bed.site, names, SAMPLE_SECONDS);
+  const samples = await sampleDaemons(bench.site, names, SAMPLE_SECONDS);
   const pick = (wanted: (name: string) => boolean) =>
     samples.filter((sample) => wanted(sample.name));
   return [
@@ -127,8 +130,8 @@
   ];
 }
 
-async function findConfigurationLeader(bed: Bed): Promise<string> {
-  const status = await bed.client.send({
+async function findConfigurationLeader(bench: BenchSite): Promise<string> {
+  const status = await bench.client.send({
     method: "GET",
     path: "/v1/status",
     token: OPERATOR_TOKEN,
@@ -138,22 +141,22 @@
 }
 
 async function measureFollowers(): Promise<DimensionResult> {
-  const bed = await startBed("followers");
-  const crowd = new Crowd(bed.site);
+  const bench = await startBenchSite("followers");
+  const simulated = new SimulatedDaemons(bench.site);
   const sizes: SizeSample[] = [];
   for (const size of [0, 50, 100, 200, 390]) {
-    crowd.growFollowers(size);
-    const samples = await sampleParts(bed);
-    const changed = await bed.client.applyResource("priority", "measured", {
+    simulated.growFollowers(size);
+    const samples = await sampleParts(bench);
+    const changed = await bench.client.applyResource("priority", "measured", {
       level: size % 100,
     });
-    const inForceMilliseconds = await crowd.measureInForce(
+    const inForceMilliseconds = await simulated.measureInForce(
       Number(changed.body.revision),
     );
     sizes.push({ size, samples, inForceMilliseconds });
   }
-  crowd.stop();
-  await bed.stop();
+  simulated.stop();
+  await bench.stop();
   return {
     dimension: "followers",
     unit: "daemons that follow the configuration",
@@ -162,20 +165,20 @@
 }
 
 async function measureSidecars(): Promise<DimensionResult> {
-  const bed = await startBed("sidecars");
-  const crowd = new Crowd(bed.site);
+  const bench = await startBenchSite("sidecars");
+  const simulated = new SimulatedDaemons(bench.site);
   const sizes: SizeSample[] = [];
   for (const size of [0, 75, 150, 300, 600]) {
-    crowd.growReporters(size);
-    sizes.push({ size, samples: await sampleParts(bed) });
+    simulated.growReporters(size);
+    sizes.push({ size, samples: await sampleParts(bench) });
   }
-  crowd.stop();
-  await bed.stop();
+  simulated.stop();
+  await bench.stop();
   return { dimension: "sidecars", unit: "reporting sidecars", sizes };
 }
 
 async function measureResources(): Promise<DimensionResult> {
-  const bed = await startBed("resources");
+  const bench = await startBenchSite("resources");
   const sizes: SizeSample[] = [];
   let made = 0;
   for (const size of [0, 250, 500, 1_000, 2_000]) {
@@ -183,7 +186,7 @@
       const name = `resource-${made + number}`;
       const body = { order_id: name, version: 0, spec: { level: 1 } };
       const path = `/v1/resources/priority/${name}`;
-      await bed.client.send({
+      await bench.client.send({
         method: "PUT",
         path,
         token: OPERATOR_TOKEN,
@@ -191,38 +194,38 @@
       });
     });
     made = size;
-    sizes.push({ size, samples: await sampleParts(bed) });
+    sizes.push({ size, samples: await sampleParts(bench) });
   }
-  await bed.stop();
+  await bench.stop();
   return { dimension: "resources", unit: "resources", sizes };
 }
 
 async function measurePrograms(): Promise<DimensionResult> {
-  const bed = await startBed("programs");
+  const bench = await startBenchSite("programs");
   const sizes: SizeSample[] = [];
   let made = 0;
   for (const size of [0, 1_000, 2_000, 4_000, 8_000]) {
     await runInParallel(size - made, async (number) => {
-      await bed.client.createProgram({ request_id: `idle-${made + number}` });
+      await bench.client.createProgram({ request_id: `idle-${made + number}` });
     });
     made = size;
-    sizes.push({ size, samples: await sampleParts(bed) });
+    sizes.push({ size, samples: await sampleParts(bench) });
   }
-  await bed.stop();
+  await bench.stop();
   return { dimension: "programs", unit: "idle programs", sizes };
 }
 
 async function measureHistory(): Promise<DimensionResult> {
-  const bed = await startBed("history");
+  const bench = await startBenchSite("history");
   const sizes: SizeSample[] = [];
   const content = "stake 12 ".repeat(28_000);
   let made = 0;
   for (const size of [0, 8, 16, 32, 64]) {
     await runInParallel((size - made) * 4, async (number) => {
-      const created = await bed.client.createProgram({
+      const created = await bench.client.createProgram({
         request_id: `long-${made}-${number}`,
       });
-      await bed.client.callModel(String(created.body.program), {
+      await bench.client.callModel(String(created.body.program), {
         request_id: "long",
         model: SITE_MODEL,
         messages: [{ role: "user", content }],
@@ -230,26 +233,26 @@
       });
     }, 4);
     made = size;
-    sizes.push({ size, samples: await sampleParts(bed) });
+    sizes.push({ size, samples: await sampleParts(bench) });
   }
-  await bed.stop();
+  await bench.stop();
   return { dimension: "history", unit: "MB of history", sizes };
 }
 
 async function measureCalls(): Promise<DimensionResult> {
-  const bed = await startBed("calls");
-  const target = new SystemTarget(bed.client, 16);
+  const bench = await startBenchSite("calls");
+  const target = new SystemTarget(bench.client, 16);
   const plan = { turns: 10, pauseMilliseconds: 500 };
   await runLoad(target, { ...plan, programs: 30, seconds: 4 });
   const sizes: SizeSample[] = [];
   for (const programs of [0, 15, 30, 60, 120]) {
     const seconds = SAMPLE_SECONDS + SETTLE_MILLISECONDS / 1_000 + 2;
     const load = runLoad(target, { ...plan, programs, seconds });
-    const samples = await sampleParts(bed);
+    const samples = await sampleParts(bench);
     const { callsPerSecond } = await load;
     sizes.push({ size: callsPerSecond, samples });
   }
-  await bed.stop();
+  await bench.stop();
   return {
     dimension: "calls",
     unit: "streamed calls a second of 16 tokens",
@@ -260,14 +263,14 @@
 async function measureGroups(): Promise<DimensionResult> {
   const sizes: SizeSample[] = [];
   for (const size of [1, 4, 8, 16]) {
-    const bed = await startBed(`groups-${size}`, size);
-    sizes.push({ size, samples: await sampleParts(bed) });
-    await bed.stop();
+    const bench = await startBenchSite(`groups-${size}`, size);
+    sizes.push({ size, samples: await sampleParts(bench) });
+    await bench.stop();
   }
   return { dimension: "groups", unit: "idle program groups", sizes };
 }
 
-/** Does a piece of work so many times, a few at once. */
+/** Runs `work` `count` times, at most `parallel` at a time. */
 async function runInParallel(
   count: number,
   work: (number: number) => Promise<void>,
--- a/packages/bench/src/slopes/fit_line.ts
+++ b/packages/bench/src/slopes/fit_line.ts
@@ -1,4 +1,4 @@
-/** A straight line through measured points. */
+/** Linear regression. */
 
 /** One measured point. */
 export interface Point {
--- a/packages/bench/src/slopes/fit_line_test.ts
+++ b/packages/bench/src/slopes/fit_line_test.ts
@@ -4,7 +4,7 @@
 
 const SEED = 1;
 
-test("points on a line give back the line", (t) => {
+test("a fit through points on a line returns that line", (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: -100, max: 100 }),
