--- a/packages/bench/src/slopes/dimensions.ts
+++ b/packages/bench/src/slopes/dimensions.ts
@@ -14,7 +14,7 @@
 import { Site } from "../site/site.ts";
 import { SiteClient } from "../site/site_client.ts";
 import { OPERATOR_TOKEN } from "../site/site_plan.ts";
-import { SimulatedDaemons } from "./crowds.ts";
+import { SimulatedDaemons } from "./simulated_daemons.ts";
 import {
   averageSamples,
   type DaemonSample,
