--- a/packages/bench/src/cost/bench_cost.ts
+++ b/packages/bench/src/cost/bench_cost.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:cost`: what daemons of a site of gateways and stores spend of
- * a processor to start, to be idle, and to serve turns.
+ * `npm run bench:cost`: measures the processor time that the daemons of a site
+ * of gateways and stores use to start, while idle, and to serve turns.
  */
 
 import { mkdirSync, rmSync } from "node:fs";
@@ -13,23 +13,23 @@
 import { GatewaySite } from "../gateways/gateway_site.ts";
 import { TEST_DOCUMENT } from "../gateways/test_document.ts";
 import { recordResults } from "../measure/record_results.ts";
-import { type CostRow, CostWatch } from "./cost_watch.ts";
-import { askTurns, type TurnLoad } from "./turn_load.ts";
+import { CostMeter, type CostRow } from "./cost_watch.ts";
+import { sendTurns, type TurnLoad } from "./turn_load.ts";
 
-/** Longest start of the whole site that is waited for after it is ready, ms. */
+/** Time for startup work after the site is ready, ms; it is not counted as idle. */
 const SETTLE_MILLISECONDS = 5_000;
-const MOST_DAEMONS = 200;
+const MAX_DAEMONS = 200;
 
 interface CostOptions extends TurnLoad {
   readonly gateways: number;
   readonly stores: number;
   readonly tolerance: number;
-  /** True if callers bear the key of a workspace with a quota. */
+  /** True if callers send the key of a workspace with a quota. */
   readonly workspaces: boolean;
 }
 
 const KEY = "cost-key";
-/** A quota that is counted and never met. */
+/** A workspace with a quota that is counted but never reached. */
 const WORKSPACE: Workspace = {
   name: "cost",
   keyDigests: [hashText(KEY)],
@@ -38,7 +38,7 @@
 };
 
 function readOptions(): CostOptions {
-  const daemons = readNumber({ least: 1, most: MOST_DAEMONS });
+  const daemons = readNumber({ least: 1, most: MAX_DAEMONS });
   return new Command("npm run bench:cost --")
     .option("--gateways <number>", "gateways of the site", daemons, 10)
     .option("--stores <number>", "stores of the site", daemons, 5)
@@ -99,15 +99,15 @@
   site: GatewaySite,
   options: CostOptions,
 ): Promise<readonly CostRow[]> {
-  const watch = new CostWatch(site);
-  const started = watch.take("start", 1);
+  const meter = new CostMeter(site);
+  const started = meter.measureStep("start", 1);
   await sleep(SETTLE_MILLISECONDS);
-  watch.take("settling", SETTLE_MILLISECONDS / 1_000);
+  meter.measureStep("settling", SETTLE_MILLISECONDS / 1_000);
   await sleep(options.seconds * 1_000);
-  const idle = watch.take("idle second", options.seconds);
+  const idle = meter.measureStep("idle second", options.seconds);
   const key = options.workspaces ? KEY : undefined;
-  const served = await askTurns(site, { ...options, key });
-  const busy = watch.take("turn", Math.max(1, served));
+  const served = await sendTurns(site, { ...options, key });
+  const busy = meter.measureStep("turn", Math.max(1, served));
   process.stdout.write(
     `${served} turns served of ${options.seconds * options.perSecond}\n`,
   );
@@ -120,7 +120,7 @@
     `mean of a daemon, ${most.toFixed(2)} at most`;
 }
 
-/** Stops every daemon in its own way, so that a profile asked for is written. */
+/** Stops every daemon gracefully, so that it writes its profile if one is requested. */
 async function stopAll(site: GatewaySite): Promise<void> {
   await Promise.all(site.daemons.map((daemon) => daemon.process.stop()));
   await site.stop();
--- a/packages/bench/src/cost/cost_watch.ts
+++ b/packages/bench/src/cost/cost_watch.ts
@@ -1,52 +1,54 @@
-/** What the daemons of a site have spent of a processor since the last look. */
+/** Measures the processor time of the daemons of a site in steps. */
 
 import type { GatewaySite, SiteDaemon } from "../gateways/gateway_site.ts";
 import { readUsage } from "../measure/process_usage.ts";
 
 /** Processor time of the daemons of one role, ms. */
 export interface CostRow {
-  /** What the time is counted for. */
+  /** Unit of work that the time is divided by, such as a turn. */
   readonly per: string;
   readonly role: "gateway" | "store";
   readonly daemons: number;
-  /** Mean of a daemon. */
+  /** Mean over the daemons, ms. */
   readonly mean: number;
-  /** The daemon that spent most, which among stores is the leader. */
+  /** Time of the busiest daemon, ms; among stores this is the leader. */
   readonly most: number;
 }
 
 /**
- * Takes the processor time of a site in steps.
+ * Measures the processor time of a site between successive calls.
  *
  * @example
  * ```ts
- * const watch = new CostWatch(site);
+ * const meter = new CostMeter(site);
  * await sleep(10_000);
- * watch.take("idle second", 10); // a row for gateways and one for stores
+ * meter.measureStep("idle second", 10); // a row for gateways and one for stores
  * ```
  */
-export class CostWatch {
+export class CostMeter {
   readonly #site: GatewaySite;
-  readonly #seen = new Map<string, number>();
+  readonly #previousMilliseconds = new Map<string, number>();
 
   constructor(site: GatewaySite) {
     this.#site = site;
   }
 
-  /** Time since the last step, divided by how often something was done in it. */
-  take(per: string, times: number): readonly CostRow[] {
+  /** Returns the time since the last step, divided by the number of units of work in it. */
+  measureStep(per: string, units: number): readonly CostRow[] {
     const { gateways, stores } = this.#site;
     return [
-      this.#takeRole({ per, times, role: "gateway" }, gateways),
-      this.#takeRole({ per, times, role: "store" }, stores),
+      this.#measureRole({ per, units, role: "gateway" }, gateways),
+      this.#measureRole({ per, units, role: "store" }, stores),
     ];
   }
 
-  #takeRole(
-    step: Pick<CostRow, "per" | "role"> & { readonly times: number },
+  #measureRole(
+    step: Pick<CostRow, "per" | "role"> & { readonly units: number },
     daemons: readonly SiteDaemon[],
   ): CostRow {
-    const spent = daemons.map((daemon) => this.#takeOne(daemon) / step.times);
+    const spent = daemons.map((daemon) =>
+      this.#measureDaemon(daemon) / step.units
+    );
     const sum = spent.reduce((total, milliseconds) => total + milliseconds, 0);
     return {
       per: step.per,
@@ -57,11 +59,11 @@
     };
   }
 
-  #takeOne(daemon: SiteDaemon): number {
+  #measureDaemon(daemon: SiteDaemon): number {
     const usage = readUsage(daemon.process.pid ?? 0);
     const now = (usage?.processorSeconds ?? 0) * 1_000;
-    const before = this.#seen.get(daemon.name) ?? 0;
-    this.#seen.set(daemon.name, now);
+    const before = this.#previousMilliseconds.get(daemon.name) ?? 0;
+    this.#previousMilliseconds.set(daemon.name, now);
     return now - before;
   }
 }
--- a/packages/bench/src/cost/turn_load.ts
+++ b/packages/bench/src/cost/turn_load.ts
@@ -1,24 +1,24 @@
-/** Asks for turns of short programs at a fixed pace. */
+/** Sends turns of short programs at a fixed rate. */
 
 import { sleep } from "@mallowlift/core";
 import { callGateway } from "../gateways/gateway_caller.ts";
 import type { GatewaySite } from "../gateways/gateway_site.ts";
 
-/** Turns of one program, each going on from the one before. */
+/** Number of turns of one program; each continues the previous one. */
 const PROGRAM_TURNS = 5;
-/** Input of each turn: about what a short question to a model takes. */
-const INPUT = "x".repeat(800);
+/** Input of each turn, about as long as a short question to a model. */
+const TURN_INPUT = "x".repeat(800);
 
-/** What is asked for. */
+/** Rate and duration of a load. */
 export interface TurnLoad {
   readonly perSecond: number;
   readonly seconds: number;
-  /** Key of the callers; missing if they have none. */
+  /** API key of the callers; missing if they have none. */
   readonly key?: string | undefined;
 }
 
-/** Asks for turns at each gateway in turn; returns how many were served. */
-export async function askTurns(
+/** Sends turns to the gateways in rotation; returns the number of served turns. */
+export async function sendTurns(
   site: GatewaySite,
   load: TurnLoad,
 ): Promise<number> {
@@ -33,7 +33,7 @@
   return served.reduce((sum, turns) => sum + turns, 0);
 }
 
-/** Runs one program until a turn is not served; returns how many were. */
+/** Runs one program until a turn fails; returns the number of served turns. */
 async function runProgram(
   site: GatewaySite,
   number: number,
@@ -43,10 +43,10 @@
   for (let turn = 0; turn < PROGRAM_TURNS; turn++) {
     const gateway = site.gateways[(number + turn) % site.gateways.length];
     const id = `cost-${number}-${turn}`;
-    const seen = await callGateway(gateway?.callersUrl ?? "", {
+    const result = await callGateway(gateway?.callersUrl ?? "", {
       callId: id,
       path: "/stream/x",
-      body: INPUT,
+      body: TURN_INPUT,
       headers: {
         "x-program": `cost-${number}`,
         "x-most-tokens": "64",
@@ -55,7 +55,7 @@
         ...(previous === "" ? {} : { "x-previous-turn": previous }),
       },
     });
-    if (seen.status !== 200 || !seen.whole) return turn;
+    if (result.status !== 200 || !result.whole) return turn;
     previous = id;
   }
   return PROGRAM_TURNS;
--- a/packages/bench/src/measure/number_option_test.ts
+++ b/packages/bench/src/measure/number_option_test.ts
@@ -3,7 +3,7 @@
 import { test } from "tap";
 import { readNumber, readNumbers } from "@mallowlift/cli";
 
-test("only numbers within the bounds are read", (t) => {
+test("number options accept only numbers within their bounds", (t) => {
   const read = readNumber({ least: 1, most: 10 });
   t.equal(read("10"), 10);
   for (const wrong of ["abc", "", "0", "11", "1.5", "1e1", "-1", "NaN"]) {
@@ -15,7 +15,7 @@
   t.end();
 });
 
-test("a wrong option ends a tool with an error and a code", (t) => {
+test("an invalid option ends a tool with an error and a nonzero exit code", (t) => {
   const run = (script: string, ...words: string[]) =>
     spawnSync(process.execPath, [join(__dirname, "..", script), ...words], {
       encoding: "utf8",
--- a/packages/bench/src/measure/process_usage.ts
+++ b/packages/bench/src/measure/process_usage.ts
@@ -1,17 +1,17 @@
-/** Processor time and memory of a process, from /proc. */
+/** Reads the processor time and memory of a process from /proc. */
 
 import { readFileSync } from "node:fs";
 
 const TICKS_PER_SECOND = 100;
 const KIBIBYTES_PER_MEBIBYTE = 1_024;
 
-/** What a process has used so far. */
+/** Processor time of a process so far and its current memory. */
 export interface ProcessUsage {
   readonly processorSeconds: number;
   readonly residentMebibytes: number;
 }
 
-/** Reads the usage of a process; undefined if it has ended. */
+/** Reads the usage of a process; returns undefined if it has exited. */
 export function readUsage(pid: number): ProcessUsage | undefined {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
--- a/packages/bench/src/measure/record_results.ts
+++ b/packages/bench/src/measure/record_results.ts
@@ -1,9 +1,9 @@
-/** Keeps the results of a benchmark as JSON. */
+/** Writes the results of a benchmark as JSON. */
 
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join, resolve } from "node:path";
 
-/** Writes results below `.results` and returns the path. */
+/** Writes results to `.results/NAME.json` and returns the path. */
 export function recordResults(name: string, results: object): string {
   const folder = resolve(".results");
   mkdirSync(folder, { recursive: true });
--- a/packages/bench/src/mod.ts
+++ b/packages/bench/src/mod.ts
@@ -1,4 +1,4 @@
-/** The example site, benchmarks and the soak. */
+/** Public interface of the bench: the example site and its client. */
 
 export * from "./site/fakes_process.ts";
 export * from "./site/site.ts";
--- a/packages/bench/src/path/bench_path.ts
+++ b/packages/bench/src/path/bench_path.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:path`: what the system adds to a call, at 1, 30 and 300 programs. */
+/** `npm run bench:path`: measures the latency that the system adds to a call, at 1, 30 and 300 programs. */
 
 import { mkdirSync, rmSync } from "node:fs";
 import { join, resolve } from "node:path";
@@ -26,7 +26,7 @@
   pauseMilliseconds: 50,
 };
 
-/** Use of one process during one load. */
+/** Resource use of one process during one load. */
 interface ProcessShare {
   readonly name: string;
   readonly corePercent: number;
@@ -96,11 +96,15 @@
         pauseMilliseconds: PAUSE_MILLISECONDS,
       };
       const direct = await runLoad(targets.direct, plan);
-      const before = readAll(site, fakes);
+      const before = readAllUsage(site, fakes);
       const startedAt = performance.now();
       const system = await runLoad(targets.system, plan);
       const seconds = (performance.now() - startedAt) / 1_000;
-      const processes = compareUsage(before, readAll(site, fakes), seconds);
+      const processes = compareUsage(
+        before,
+        readAllUsage(site, fakes),
+        seconds,
+      );
       const result = { direct, system, processes };
       results.push(result);
       printResult(result);
@@ -118,7 +122,7 @@
   readonly usage: ProcessUsage;
 }
 
-function readAll(
+function readAllUsage(
   site: Site,
   fakes: readonly FakesProcess[],
 ): readonly NamedUsage[] {
@@ -128,7 +132,7 @@
   ];
   const found: NamedUsage[] = [{
     name: "load",
-    usage: readUsage(process.pid) ?? EMPTY,
+    usage: readUsage(process.pid) ?? NO_USAGE,
   }];
   for (const managed of running) {
     const usage = readUsage(managed.pid ?? 0);
@@ -137,7 +141,7 @@
   return found;
 }
 
-const EMPTY: ProcessUsage = { processorSeconds: 0, residentMebibytes: 0 };
+const NO_USAGE: ProcessUsage = { processorSeconds: 0, residentMebibytes: 0 };
 
 function compareUsage(
   before: readonly NamedUsage[],
@@ -145,7 +149,8 @@
   seconds: number,
 ): readonly ProcessShare[] {
   return after.map(({ name, usage }) => {
-    const earlier = before.find((known) => known.name === name)?.usage ?? EMPTY;
+    const earlier = before.find((known) => known.name === name)?.usage ??
+      NO_USAGE;
     const used = usage.processorSeconds - earlier.processorSeconds;
     return {
       name,
--- a/packages/bench/src/path/call_target.ts
+++ b/packages/bench/src/path/call_target.ts
@@ -1,4 +1,4 @@
-/** Two ways to make the same calls: to the engine directly, or through the system. */
+/** Makes the same calls directly to an engine or through the system. */
 
 import { Agent } from "node:http";
 import Wreck from "@hapi/wreck";
@@ -13,26 +13,26 @@
   readonly content: string;
 }
 
-/** Times of one streamed call, in milliseconds since it was sent. */
+/** Times of one streamed call, in milliseconds since it was sent, and its text. */
 export interface CallTimes {
   readonly total: number;
   readonly chunkTimes: readonly number[];
   readonly text: string;
 }
 
-/** A conversation that calls are made in. */
+/** A sequence of calls that share a history. */
 export interface Conversation {
   call(requestId: string, question: string): Promise<CallTimes>;
   end(): Promise<void>;
 }
 
-/** Something that conversations can be held with. */
+/** A system under test that conversations are opened on. */
 export interface CallTarget {
   readonly name: string;
   open(id: string): Promise<Conversation>;
 }
 
-/** Calls through the system. */
+/** Makes calls through the system. */
 export class SystemTarget implements CallTarget {
   readonly name = "system";
   readonly #client: SiteClient;
@@ -59,13 +59,13 @@
 
   async #call(
     program: string,
-    ask: { readonly requestId: string; readonly question: string },
+    request: { readonly requestId: string; readonly question: string },
   ): Promise<CallTimes> {
     const startedAt = performance.now();
     const answer = await this.#client.streamModel(program, {
-      request_id: ask.requestId,
+      request_id: request.requestId,
       model: SITE_MODEL,
-      messages: [{ role: "user", content: ask.question }],
+      messages: [{ role: "user", content: request.question }],
       max_tokens: this.#tokens,
     });
     if (!answer.whole) {
@@ -78,7 +78,7 @@
   }
 }
 
-/** Calls straight to the engines, each conversation on one of them. */
+/** Makes calls directly to engines; each conversation uses one engine. */
 export class DirectTarget implements CallTarget {
   readonly name = "direct";
   readonly #urls: readonly string[];
@@ -91,7 +91,7 @@
     this.#tokens = tokens;
   }
 
-  /** Starts an empty conversation with one engine. */
+  /** Opens an empty conversation on the next engine. */
   open(id: string): Promise<Conversation> {
     const url = this.#urls[this.#next++ % this.#urls.length] ?? "";
     const messages: Message[] = [];
--- a/packages/bench/src/path/run_load.ts
+++ b/packages/bench/src/path/run_load.ts
@@ -1,4 +1,4 @@
-/** Holds many conversations at once and measures their calls. */
+/** Runs many conversations concurrently and measures their calls. */
 
 import { sleep } from "@mallowlift/core";
 import { LatencyRecorder, type LatencySummary } from "../measure/latency.ts";
@@ -6,17 +6,17 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** How much load there is. */
+/** Size and duration of a load. */
 export interface LoadPlan {
   readonly programs: number;
   readonly seconds: number;
-  /** Calls of one program. */
+  /** Number of calls of one program. */
   readonly turns: number;
-  /** Pause for tools between two calls; up to twice that, evenly spread. */
+  /** Mean pause for tools between two calls; each is 0.5 to 1.5 times that, uniformly. */
   readonly pauseMilliseconds: number;
 }
 
-/** What the load measured. */
+/** Measurements of a load. */
 export interface LoadResult {
   readonly target: string;
   readonly programs: number;
@@ -27,7 +27,7 @@
   readonly tokenGap: LatencySummary;
 }
 
-/** Runs the load for its time. */
+/** Runs the load for its duration. */
 export async function runLoad(
   target: CallTarget,
   plan: LoadPlan,
@@ -41,7 +41,7 @@
   const startedAt = performance.now();
   const endsAt = startedAt + plan.seconds * MILLISECONDS_PER_SECOND;
   const runId = Math.random().toString(36).slice(2);
-  const note = (times: CallTimes) => {
+  const recordTimes = (times: CallTimes) => {
     recorders.total.add(times.total);
     recorders.firstToken.add(times.chunkTimes[0] ?? times.total);
     let previous = times.chunkTimes[0] ?? 0;
@@ -50,19 +50,19 @@
       previous = time;
     }
   };
-  const hold = async (number: number) => {
+  const runConversations = async (number: number) => {
     await sleep((number / plan.programs) * plan.pauseMilliseconds);
     for (let round = 0; performance.now() < endsAt; round++) {
       const id = `load${runId}${number}r${round}`;
       try {
-        await holdConversation(target, { id, plan, endsAt, note });
+        await runConversation(target, { id, plan, endsAt, recordTimes });
       } catch {
         failures++;
       }
     }
   };
   const numbers = Array.from({ length: plan.programs }, (_, number) => number);
-  await Promise.all(numbers.map(hold));
+  await Promise.all(numbers.map(runConversations));
   const seconds = (performance.now() - startedAt) / MILLISECONDS_PER_SECOND;
   const total = recorders.total.summarize();
   return {
@@ -76,19 +76,21 @@
   };
 }
 
-async function holdConversation(
+async function runConversation(
   target: CallTarget,
   options: {
     readonly id: string;
     readonly plan: LoadPlan;
     readonly endsAt: number;
-    readonly note: (times: CallTimes) => void;
+    readonly recordTimes: (times: CallTimes) => void;
   },
 ): Promise<void> {
-  const { id, plan, endsAt, note } = options;
+  const { id, plan, endsAt, recordTimes } = options;
   const conversation = await target.open(id);
   for (let turn = 0; turn < plan.turns && performance.now() < endsAt; turn++) {
-    note(await conversation.call(`turn${turn}`, `Reading ${turn} of ${id}`));
+    recordTimes(
+      await conversation.call(`turn${turn}`, `Reading ${turn} of ${id}`),
+    );
     await sleep(plan.pauseMilliseconds * (0.5 + Math.random()));
   }
   await conversation.end();
--- a/packages/bench/src/policy/bench_policy.ts
+++ b/packages/bench/src/policy/bench_policy.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:policy`: policies side by side on the same programs. */
+/** `npm run bench:policy`: compares placement policies and queue orders on the same programs. */
 
 import { mkdirSync, rmSync } from "node:fs";
 import { join, resolve } from "node:path";
@@ -19,9 +19,10 @@
 const STEP_MILLISECONDS = 10;
 const CACHE_TOKENS = 60_000;
 const ENGINES_PER_PROCESS = 4;
+/** Time that engines have to release the sessions of ended programs. */
 const RELEASE_MILLISECONDS = 6_000;
 
-/** A placement policy with a queue order. */
+/** A placement policy combined with a queue order. */
 interface PolicyChoice {
   readonly name: string;
   readonly placement: string;
@@ -48,7 +49,7 @@
   },
 ];
 
-/** What one policy measured. */
+/** Measurements of one policy. */
 export interface PolicyResult extends WorkloadResult {
   readonly policy: string;
   readonly workload: string;
@@ -56,9 +57,9 @@
   readonly seed: number;
   readonly engines: number;
   readonly promptTokens: number;
-  /** Prompt tokens computed again that had been computed before. */
+  /** Prompt tokens that an engine computed although they had been sent before. */
   readonly wastedTokens: number;
-  /** Programs that engines still held after all had ended. */
+  /** Sessions of ended programs that engines still held after {@linkcode RELEASE_MILLISECONDS}. */
   readonly heldAfterEnd: number;
 }
 
@@ -191,7 +192,7 @@
     });
     const totals = await readTotals(engineUrls);
     await sleep(RELEASE_MILLISECONDS);
-    const heldAfterEnd = await countHeld(engineUrls, ended);
+    const heldAfterEnd = await countHeldSessions(engineUrls, ended);
     north.close();
     south.close();
     const computed = totals.promptTokens - totals.cachedTokens;
@@ -232,7 +233,7 @@
   return { promptTokens, cachedTokens };
 }
 
-async function countHeld(
+async function countHeldSessions(
   urls: readonly string[],
   ended: ReadonlySet<string>,
 ): Promise<number> {
--- a/packages/bench/src/policy/run_workload.ts
+++ b/packages/bench/src/policy/run_workload.ts
@@ -1,54 +1,54 @@
-/** Runs a planned workload against a site and measures whole programs. */
+/** Runs a planned workload against a site and measures the latency of its programs. */
 
 import { sleep } from "@mallowlift/core";
 import { LatencyRecorder, type LatencySummary } from "../measure/latency.ts";
 import { SITE_MODEL } from "../site/seed_resources.ts";
 import type { SiteClient } from "../site/site_client.ts";
 import {
-  estimateChain,
+  estimateUnloadedLatency,
   type PlannedCall,
   type PlannedProgram,
 } from "./workload.ts";
 
-const LEAST_RETRY_MILLISECONDS = 50;
+const MIN_RETRY_MILLISECONDS = 50;
 
-/** What a workload measured. */
+/** Measurements of a workload. */
 export interface WorkloadResult {
   readonly programs: number;
   readonly finished: number;
   readonly program: LatencySummary;
-  /** Program latency over that of the unloaded chain, times 1,000 milliseconds. */
+  /** Program latency divided by its latency without load, times 1,000. */
   readonly slowdown: LatencySummary;
   readonly firstToken: LatencySummary;
   readonly tokenGap: LatencySummary;
-  readonly refusals: readonly RefusalNote[];
-  /** Mean slowdown of one outfit over that of the other; 1 is fair. */
+  readonly refusals: readonly RefusalCount[];
+  /** Mean slowdown of outfit north divided by that of south; 1 is fair. */
   readonly fairness: number;
-  /** New prompt tokens that nobody had sent before. */
+  /** Prompt tokens that were sent for the first time and could not be cached. */
   readonly firstTimeTokens: number;
 }
 
-/** What a workload measured, and which programs have ended. */
+/** Measurements of a workload and the ids of its ended programs. */
 export interface WorkloadRun {
   readonly result: WorkloadResult;
   readonly ended: ReadonlySet<string>;
 }
 
-/** How often a reason was given. */
-export interface RefusalNote {
+/** Number of refusals with one reason. */
+export interface RefusalCount {
   readonly reason: string;
   readonly count: number;
 }
 
-/** Who calls, and until when. */
+/** Clients and end time of a run. */
 export interface WorkloadTargets {
   findClient(outfit: PlannedProgram["outfit"]): SiteClient;
   readonly stepMilliseconds: number;
-  /** When the run is over, from its start; open programs are not counted. */
+  /** End of the run, ms after its start; unfinished programs are not counted. */
   readonly endsAt: number;
 }
 
-/** Collects what the callers of one run see. */
+/** Collects latencies and refusals as the callers of one run observe them. */
 class RunRecorder {
   readonly program = new LatencyRecorder();
   readonly slowdown = new LatencyRecorder();
@@ -62,7 +62,10 @@
   firstTimeTokens = 0;
 }
 
-/** Starts each program at its time and waits until the run is over. */
+/**
+ * Starts each program at its planned time and waits until all programs have
+ * ended or the run is over.
+ */
 export async function runWorkload(
   programs: readonly PlannedProgram[],
   targets: WorkloadTargets,
@@ -97,6 +100,7 @@
   return { result, ended: recorder.ended };
 }
 
+/** Targets, recorder and end of a run, shared by its programs. */
 interface RunParts {
   readonly targets: WorkloadTargets;
   readonly recorder: RunRecorder;
@@ -129,7 +133,8 @@
   const latency = performance.now() - startedAt;
   await client.endProgram(id);
   recorder.ended.add(id);
-  const slowdown = latency / estimateChain(program, targets.stepMilliseconds);
+  const slowdown = latency /
+    estimateUnloadedLatency(program, targets.stepMilliseconds);
   recorder.finished++;
   recorder.program.add(latency);
   recorder.slowdown.add(slowdown * 1_000);
@@ -172,7 +177,7 @@
   if (shared !== undefined) {
     messages.unshift({ role: "system", content: shared });
   }
-  const askedAt = performance.now();
+  const startedAt = performance.now();
   while (!isOver()) {
     const sentAt = performance.now();
     const answer = await client.streamModel(program, {
@@ -184,8 +189,8 @@
     const reason = answer.body?.error?.name as string | undefined;
     if (answer.whole) {
       recorder.firstTimeTokens += call.messageTokens;
-      const waited = sentAt - askedAt;
-      recorder.firstToken.add(waited + (answer.chunkTimes[0] ?? 0));
+      const retryMilliseconds = sentAt - startedAt;
+      recorder.firstToken.add(retryMilliseconds + (answer.chunkTimes[0] ?? 0));
       for (const [position, time] of answer.chunkTimes.slice(1).entries()) {
         recorder.tokenGap.add(time - (answer.chunkTimes[position] ?? 0));
       }
@@ -194,6 +199,6 @@
     const name = reason ?? "broken";
     recorder.refusals.set(name, (recorder.refusals.get(name) ?? 0) + 1);
     const retry = Number(answer.body?.error?.retry_after_ms ?? 0);
-    await sleep(Math.max(LEAST_RETRY_MILLISECONDS, retry));
+    await sleep(Math.max(MIN_RETRY_MILLISECONDS, retry));
   }
 }
--- a/packages/bench/src/policy/workload.ts
+++ b/packages/bench/src/policy/workload.ts
@@ -1,11 +1,11 @@
-/** Programs of the two users, as chains of calls that a seed determines. */
+/** Generates programs of the two users as chains of calls, reproducible from a seed. */
 
 import { Random } from "../soak/random.ts";
 
 const BYTES_PER_TOKEN = 4;
 const PREFILL_TOKENS_PER_STEP = 512;
 
-/** Names of the workloads. */
+/** Names of the workloads, one for each user. */
 export const WORKLOADS = {
   FIRNWATCH: "firnwatch",
   FINE_FREIGHT: "fine-freight",
@@ -14,13 +14,13 @@
 /** One of {@linkcode WORKLOADS}. */
 export type WorkloadName = typeof WORKLOADS[keyof typeof WORKLOADS];
 
-/** How the programs of a workload are made. */
-interface Shape {
-  /** Kinds of programs; each has a long prompt that its programs share. */
+/** Distribution of the programs of a workload. */
+interface WorkloadDistribution {
+  /** Number of kinds of programs; programs of one kind share a long prompt. */
   readonly kinds: number;
   readonly sharedTokens: number;
   readonly turns: readonly [least: number, most: number];
-  /** One program in so many has several times the turns. */
+  /** One program in `longOneIn` has `longFactor` times the turns. */
   readonly longOneIn: number;
   readonly longFactor: number;
   readonly messageTokens: readonly [least: number, most: number];
@@ -30,7 +30,7 @@
   readonly childPercent: number;
 }
 
-const SHAPES: Readonly<Record<WorkloadName, Shape>> = {
+const DISTRIBUTIONS: Readonly<Record<WorkloadName, WorkloadDistribution>> = {
   "firnwatch": {
     kinds: 4,
     sharedTokens: 400,
@@ -55,60 +55,60 @@
   },
 };
 
-/** One call of a planned program. */
+/** A planned call of a program. */
 export interface PlannedCall {
   readonly message: string;
   readonly messageTokens: number;
   readonly answerTokens: number;
-  /** Tool pause after the call. */
+  /** Pause for a tool after the call, ms. */
   readonly pauseMilliseconds: number;
   /** True if a sub-agent makes the call. */
   readonly byChild: boolean;
 }
 
-/** One planned program. */
+/** A planned program. */
 export interface PlannedProgram {
   readonly number: number;
   readonly outfit: "north" | "south";
-  /** When it starts, in milliseconds from the start of the run. */
+  /** Start time, ms after the start of the run. */
   readonly startsAt: number;
-  /** The prompt that programs of its kind share. */
+  /** The prompt that programs of this kind share. */
   readonly shared: string;
   readonly sharedTokens: number;
   readonly kind: number;
   readonly calls: readonly PlannedCall[];
 }
 
-/** What determines a workload. */
+/** Parameters of a workload. */
 export interface WorkloadPlan {
   readonly name: WorkloadName;
   readonly seed: number;
   readonly seconds: number;
-  /** Share of what the engines can carry, 1 for all of it. */
+  /** Offered load as a share of the capacity of the engines; 1 is all of it. */
   readonly load: number;
-  /** Calls that all engines run at once. */
+  /** Number of calls that all engines together run concurrently. */
   readonly slots: number;
   readonly stepMilliseconds: number;
 }
 
-/** Plans programs with open-loop arrivals at the wanted load. */
+/** Plans programs with open-loop arrivals at the given load. */
 export function planWorkload(plan: WorkloadPlan): readonly PlannedProgram[] {
   const random = new Random(plan.seed);
-  const shape = SHAPES[plan.name];
+  const distribution = DISTRIBUTIONS[plan.name];
   const drafts: PlannedProgram[] = [];
-  let busy = 0;
+  let plannedMilliseconds = 0;
   const endsAt = plan.seconds * 1_000;
-  const wanted = plan.load * plan.slots * endsAt;
-  while (busy < wanted) {
-    const draft = planProgram(drafts.length, shape, random);
-    busy += estimateService(draft, plan.stepMilliseconds);
+  const targetMilliseconds = plan.load * plan.slots * endsAt;
+  while (plannedMilliseconds < targetMilliseconds) {
+    const draft = planProgram(drafts.length, distribution, random);
+    plannedMilliseconds += estimateServiceTime(draft, plan.stepMilliseconds);
     drafts.push(draft);
   }
   return spreadArrivals(drafts, endsAt, random);
 }
 
-/** Milliseconds of the chain with nobody else there and all that can be cached cached. */
-export function estimateChain(
+/** Estimates the latency of a program without other load and with a warm cache, ms. */
+export function estimateUnloadedLatency(
   program: PlannedProgram,
   stepMilliseconds: number,
 ): number {
@@ -116,10 +116,10 @@
     (sum, call) => sum + call.pauseMilliseconds,
     0,
   );
-  return pauses + estimateService(program, stepMilliseconds);
+  return pauses + estimateServiceTime(program, stepMilliseconds);
 }
 
-function estimateService(
+function estimateServiceTime(
   program: PlannedProgram,
   stepMilliseconds: number,
 ): number {
@@ -133,35 +133,38 @@
 
 function planProgram(
   number: number,
-  shape: Shape,
+  distribution: WorkloadDistribution,
   random: Random,
 ): PlannedProgram {
-  const kind = random.between(1, shape.kinds);
-  const isLong = random.between(1, shape.longOneIn) === 1;
-  const turns = random.between(...shape.turns) *
-    (isLong ? shape.longFactor : 1);
+  const kind = random.between(1, distribution.kinds);
+  const isLong = random.between(1, distribution.longOneIn) === 1;
+  const turns = random.between(...distribution.turns) *
+    (isLong ? distribution.longFactor : 1);
   const calls = Array.from({ length: turns }, (_, turn) => {
-    const messageTokens = random.between(...shape.messageTokens);
+    const messageTokens = random.between(...distribution.messageTokens);
     return {
       message: composeText(`p${number}t${turn} `, messageTokens),
       messageTokens,
-      answerTokens: random.between(...shape.answerTokens),
-      pauseMilliseconds: random.between(...shape.pauseMilliseconds),
-      byChild: turn > 0 && random.happens(shape.childPercent),
+      answerTokens: random.between(...distribution.answerTokens),
+      pauseMilliseconds: random.between(...distribution.pauseMilliseconds),
+      byChild: turn > 0 && random.happens(distribution.childPercent),
     };
   });
   return {
     number,
     outfit: number % 2 === 0 ? "north" : "south",
     startsAt: 0,
-    shared: composeText(`kind ${kind} `, shape.sharedTokens),
-    sharedTokens: shape.sharedTokens,
+    shared: composeText(`kind ${kind} `, distribution.sharedTokens),
+    sharedTokens: distribution.sharedTokens,
     kind,
     calls,
   };
 }
 
-/** Arrivals that are uniform and independent, as a Poisson process given its count. */
+/**
+ * Draws independent, uniformly distributed start times: a Poisson process with
+ * a given number of arrivals.
+ */
 function spreadArrivals(
   drafts: readonly PlannedProgram[],
   endsAt: number,
--- a/packages/bench/src/quotas/bench_quotas.ts
+++ b/packages/bench/src/quotas/bench_quotas.ts
@@ -1,17 +1,17 @@
-/** Prints what each way to hold quotas does on the same simulated days. */
+/** `npm run bench:quotas`: simulates each quota strategy on the same workloads. */
 
 import process from "node:process";
 import {
   FixedShares,
   LeaderPermits,
-  type QuotaWay,
+  type QuotaStrategy,
   type SimulatedSite,
 } from "./quota_ways.ts";
 import { simulateQuotas } from "./simulate_quotas.ts";
 
 const GATEWAYS = [22, 300];
 const SEEDS = [1, 2, 3];
-const WAYS: readonly ((site: SimulatedSite) => QuotaWay)[] = [
+const STRATEGIES: readonly ((site: SimulatedSite) => QuotaStrategy)[] = [
   (site) => new FixedShares(site),
   LeaderPermits.batched,
   LeaderPermits.leased,
@@ -20,8 +20,12 @@
 async function run(): Promise<void> {
   for (const gateways of GATEWAYS) {
     for (const seed of SEEDS) {
-      for (const createWay of WAYS) {
-        const result = await simulateQuotas({ seed, gateways, createWay });
+      for (const createStrategy of STRATEGIES) {
+        const result = await simulateQuotas({
+          seed,
+          gateways,
+          createStrategy,
+        });
         console.log(JSON.stringify({ seed, ...result }));
       }
     }
--- a/packages/bench/src/quotas/event_queue.ts
+++ b/packages/bench/src/quotas/event_queue.ts
@@ -1,4 +1,4 @@
-/** Events of a simulation, by their time. */
+/** Event queue of a simulation. */
 
 interface Scheduled {
   readonly at: number;
@@ -6,8 +6,8 @@
 }
 
 /**
- * Runs what was scheduled in the order of its time; what comes at the same time
- * runs in the order in which it was scheduled.
+ * Runs events in the order of their time. Events with the same time run in the
+ * order in which they were scheduled.
  *
  * @example
  * ```ts
@@ -17,10 +17,10 @@
  * ```
  */
 export class EventQueue {
-  /** Latest first, so that the next one is at the end. */
+  /** Sorted from the latest to the next event, so that `pop` returns the next one. */
   readonly #scheduled: Scheduled[] = [];
 
-  /** Schedules an event, ms. */
+  /** Schedules an event at a time, ms. */
   schedule(at: number, run: (now: number) => void): void {
     let first = 0;
     let last = this.#scheduled.length;
--- a/packages/bench/src/quotas/quota_ways.ts
+++ b/packages/bench/src/quotas/quota_ways.ts
@@ -1,4 +1,4 @@
-/** Ways to hold quotas over many gateways, behind one interface. */
+/** Strategies that enforce quotas across many gateways, behind one interface. */
 
 import { createMetrics, type TakePermits } from "@mallowlift/core";
 import {
@@ -21,44 +21,49 @@
 import { Ok } from "ts-results";
 import type { Arrival, WorkloadWorkspace } from "./quota_workload.ts";
 
-/** Terms of a site: a window of 5 s, a tenth and 20 requests over it. */
-export const TERMS: QuotaTerms = { windowSeconds: 5, overage: 0.1, slack: 20 };
-/** Longest wait of a request for a permit, ms. */
-const LIMIT_MILLISECONDS = 2_500;
+/** Quota terms of a site: a window of 5 s, a tenth and 20 requests of overage. */
+export const QUOTA_TERMS: QuotaTerms = {
+  windowSeconds: 5,
+  overage: 0.1,
+  slack: 20,
+};
+/** Longest time that a request waits for a permit, ms. */
+const MAX_WAIT_MILLISECONDS = 2_500;
 
-/** What became of a request. */
+/** Decision on a request: sent, over its quota, or refused without a leader. */
 export type QuotaDecision = "sent" | "over" | "unavailable";
 
-/** What a way has cost. */
+/** Network and log traffic that a strategy has caused. */
 export interface QuotaCost {
   messages: number;
   bytes: number;
-  /** Commands of the replicated log. */
+  /** Commands in the replicated log. */
   commands: number;
 }
 
-/** What the ways know of the simulated site. */
+/** The simulated site as the strategies see it. */
 export interface SimulatedSite {
   readonly gateways: number;
-  /** Time now, ms. */
+  /** Returns the current time, ms. */
   readonly clock: () => number;
-  /** Time of the site, which stands still while nobody leads, ms. */
+  /** Returns the time of the site, which does not advance without a leader, ms. */
   readonly siteClock: () => number;
-  readonly canReach: (gateway: number) => boolean;
+  /** Returns true if a gateway reaches the leader. */
+  readonly canReachLeader: (gateway: number) => boolean;
   /** Resolves after a time, ms. */
   readonly wait: (milliseconds: number) => Promise<void>;
 }
 
-/** Decides on requests. */
-export interface QuotaWay {
+/** Decides which requests are sent. */
+export interface QuotaStrategy {
   readonly name: string;
   readonly cost: QuotaCost;
   /** Resolves when the request is sent or refused. */
   decide(arrival: Arrival): Promise<QuotaDecision>;
 }
 
-/** Each gateway may send an equal part of every quota. */
-export class FixedShares implements QuotaWay {
+/** Gives each gateway an equal, fixed share of every quota. */
+export class FixedShares implements QuotaStrategy {
   readonly name = "fixed shares";
   readonly cost: QuotaCost = { messages: 0, bytes: 0, commands: 0 };
   readonly #site: SimulatedSite;
@@ -68,7 +73,7 @@
     this.#site = site;
   }
 
-  /** Decides at once, by what this gateway has sent. */
+  /** Decides immediately, from the requests that this gateway has sent. */
   decide({ gateway, workspace }: Arrival): Promise<QuotaDecision> {
     const { bound } = describeQuota(workspace);
     const most = Math.floor(bound.most / this.#site.gateways);
@@ -82,11 +87,11 @@
   }
 }
 
-/** Time from a gateway's question to the leader's answer, ms: two hops and a commit. */
+/** Round trip from a gateway to the leader, ms: two hops and a commit. */
 const ROUND_TRIP_MILLISECONDS = 6;
 
-/** The leader gives permits, for what waits and as far as a policy asks ahead. */
-export class LeaderPermits implements QuotaWay {
+/** The leader grants permits for waiting requests and those that a policy requests ahead. */
+export class LeaderPermits implements QuotaStrategy {
   readonly name: string;
   readonly cost: QuotaCost = { messages: 0, bytes: 0, commands: 0 };
   readonly #site: SimulatedSite;
@@ -106,7 +111,7 @@
     this.#createPolicy = options.createPolicy;
   }
 
-  /** Every request is charged when it comes; those that wait go together. */
+  /** Requests permits as requests arrive; waiting requests share one message. */
   static batched(site: SimulatedSite): LeaderPermits {
     const createPolicy = () => new NoSpare();
     return new LeaderPermits(site, {
@@ -115,17 +120,17 @@
     });
   }
 
-  /** Gateways ask ahead for what they expect to send. */
+  /** Gateways also request permits ahead for the requests that they expect to send. */
   static leased(site: SimulatedSite): LeaderPermits {
     const createPolicy = () => new ExpectedSpare();
     return new LeaderPermits(site, { name: "leased by demand", createPolicy });
   }
 
-  /** Takes a permit from the gateway's pool. */
+  /** Takes a permit from the pool of the gateway. */
   async decide({ gateway, workspace }: Arrival): Promise<QuotaDecision> {
     const taken = await this.#getPool(gateway).take(describeQuota(workspace), {
       now: this.#site.clock(),
-      limitMilliseconds: LIMIT_MILLISECONDS,
+      limitMilliseconds: MAX_WAIT_MILLISECONDS,
     });
     if (taken.ok) return "sent";
     return taken.val.code === RESULT_CODES.QUOTA_EXCEEDED
@@ -159,8 +164,8 @@
     const bytes = encodeFrame(request).length;
     this.cost.messages++;
     this.cost.bytes += bytes;
-    if (!site.canReach(gateway)) {
-      await site.wait(LOST_MILLISECONDS);
+    if (!site.canReachLeader(gateway)) {
+      await site.wait(LEADER_TIMEOUT_MILLISECONDS);
       return fail(RESULT_CODES.NO_LEADER, RESULT_CODES.NO_LEADER.meaning);
     }
     await site.wait(ROUND_TRIP_MILLISECONDS / 2);
@@ -176,15 +181,15 @@
   }
 }
 
-/** Time after which a question without an answer is given up, ms. */
-const LOST_MILLISECONDS = 400;
+/** Timeout of a request to an unreachable leader, ms. */
+const LEADER_TIMEOUT_MILLISECONDS = 400;
 const METRICS = createMetrics();
 
 function describeQuota(workspace: WorkloadWorkspace): WorkspaceQuota {
   const { name, ratePerSecond, burst } = workspace;
   const quota = findQuota(
     { name, ratePerSecond, burst, keyDigests: [] },
-    { version: 1, terms: TERMS },
+    { version: 1, terms: QUOTA_TERMS },
   );
   if (quota === undefined) throw new Error("Every workspace has a quota");
   return quota;
--- a/packages/bench/src/quotas/quota_workload.ts
+++ b/packages/bench/src/quotas/quota_workload.ts
@@ -1,44 +1,45 @@
-/** Requests of many workspaces at the gateways of a site, for simulations. */
+/** Generates the requests of many workspaces to the gateways of a simulated site. */
 
 import { Random } from "../soak/random.ts";
 
-/** Workspaces of a site. */
+/** Number of workspaces of the site. */
 export const WORKSPACES = 76;
-/** Requests a second of all workspaces together. */
+/** Total requests a second of all workspaces. */
 const REQUESTS_PER_SECOND = 1_000;
-/** How fast sizes of workspaces fall: the n-th has this power of 1/n as its share. */
+/** Exponent of the sizes: the n-th workspace has a share proportional to 1/n to this power. */
 const SIZE_POWER = 0.9;
-/** What a workspace may send, by what it usually sends. */
+/** Quota of a workspace divided by its usual request rate. */
 const QUOTA_FACTOR = 1.6;
-/** Callers of each workspace; each keeps to one gateway at a time. */
-const CALLERS = 2;
-/** How much more comes in the burst, and from all in the flood of one workspace. */
+/** Number of callers of each workspace; each uses one gateway at a time. */
+const CALLERS_PER_WORKSPACE = 2;
+/** Factor on the request rate of every workspace during the burst. */
 const BURST_FACTOR = 2;
+/** Factor on the request rate of the flooding workspace during the flood. */
 const FLOOD_FACTOR = 6;
-/** Number of the workspace that floods: one of the large ones. */
-const FLOODING = 1;
+/** Index of the flooding workspace, which is one of the largest. */
+const FLOODING_WORKSPACE = 1;
 const STEP_MILLISECONDS = 10;
-/** Distinct random numbers from 0 up to 1. */
-const RESOLUTION = 1_000_000;
+/** Number of distinct random values between 0 and 1. */
+const RANDOM_RESOLUTION = 1_000_000;
 
-/** When what happens, ms. */
+/** Start and end times of the events of a simulation, ms. */
 export const TIMELINE = {
-  /** Half of the callers move to other gateways. */
+  /** Half of the callers move to another gateway. */
   shiftAt: 8_000,
   burstAt: 12_000,
   burstUntil: 16_000,
   floodAt: 18_000,
   floodUntil: 24_000,
-  /** A third of the gateways does not reach the leader. */
-  cutAt: 26_000,
-  cutUntil: 30_000,
-  /** Nobody leads. */
-  darkAt: 32_000,
-  darkUntil: 34_000,
+  /** A third of the gateways cannot reach the leader. */
+  partitionAt: 26_000,
+  partitionUntil: 30_000,
+  /** There is no leader. */
+  leaderlessAt: 32_000,
+  leaderlessUntil: 34_000,
   endsAt: 40_000,
 } as const;
 
-/** Requests a second of one workspace, and its quota. */
+/** Request rate and quota of one workspace. */
 export interface WorkloadWorkspace {
   readonly name: string;
   readonly requestsPerSecond: number;
@@ -46,14 +47,14 @@
   readonly burst: number;
 }
 
-/** One request. */
+/** A request that arrives at a gateway. */
 export interface Arrival {
   readonly at: number;
   readonly workspace: WorkloadWorkspace;
   readonly gateway: number;
 }
 
-/** Makes the workspaces, largest first. */
+/** Creates the workspaces, largest first. */
 export function createWorkspaces(): readonly WorkloadWorkspace[] {
   const shares = Array.from(
     { length: WORKSPACES },
@@ -72,14 +73,14 @@
   });
 }
 
-/** Makes the requests of a day, in the order of their time. */
+/** Generates the requests of a simulation, sorted by time. */
 export function createArrivals(
   workspaces: readonly WorkloadWorkspace[],
   options: { readonly seed: number; readonly gateways: number },
 ): readonly Arrival[] {
   const random = new Random(options.seed);
   const { gateways } = options;
-  const homes = workspaces.map(() => chooseHomes(random, gateways));
+  const homes = workspaces.map(() => chooseHomeGateways(random, gateways));
   const arrivals: Arrival[] = [];
   let hasShifted = false;
   for (let at = 0; at < TIMELINE.endsAt; at += STEP_MILLISECONDS) {
@@ -88,7 +89,8 @@
       for (const callers of homes) callers[0] = random.between(0, gateways - 1);
     }
     for (const [number, workspace] of workspaces.entries()) {
-      const expected = workspace.requestsPerSecond * findFactor(number, at) *
+      const expected = workspace.requestsPerSecond *
+        findRateFactor(number, at) *
         STEP_MILLISECONDS / 1_000;
       const count = drawCount(random, expected);
       for (let request = 0; request < count; request++) {
@@ -101,23 +103,27 @@
   return arrivals.toSorted((left, right) => left.at - right.at);
 }
 
-function chooseHomes(random: Random, gateways: number): number[] {
+/** Chooses the gateway of each caller of one workspace. */
+function chooseHomeGateways(random: Random, gateways: number): number[] {
   return Array.from(
-    { length: CALLERS },
+    { length: CALLERS_PER_WORKSPACE },
     () => random.between(0, gateways - 1),
   );
 }
 
-function findFactor(workspace: number, at: number): number {
+function findRateFactor(workspace: number, at: number): number {
   const isBurst = at >= TIMELINE.burstAt && at < TIMELINE.burstUntil;
   const isFlood = at >= TIMELINE.floodAt && at < TIMELINE.floodUntil;
-  if (isFlood && workspace === FLOODING) return FLOOD_FACTOR;
+  if (isFlood && workspace === FLOODING_WORKSPACE) return FLOOD_FACTOR;
   return isBurst ? BURST_FACTOR : 1;
 }
 
-/** A number with this mean: whole parts for sure, the rest by chance. */
+/**
+ * Returns a random count with the given mean: its integer part, plus one with
+ * the probability of its fraction.
+ */
 function drawCount(random: Random, expected: number): number {
   const whole = Math.floor(expected);
-  const point = random.between(0, RESOLUTION - 1) / RESOLUTION;
+  const point = random.between(0, RANDOM_RESOLUTION - 1) / RANDOM_RESOLUTION;
   return whole + (point < expected - whole ? 1 : 0);
 }
--- a/packages/bench/src/quotas/simulate_quotas.ts
+++ b/packages/bench/src/quotas/simulate_quotas.ts
@@ -1,12 +1,12 @@
-/** Plays the same requests against a way to hold quotas, without a network. */
+/** Simulates a quota strategy on a generated workload, without a network. */
 
 import { setImmediate } from "node:timers/promises";
 import { EventQueue } from "./event_queue.ts";
 import {
+  QUOTA_TERMS,
   type QuotaDecision,
-  type QuotaWay,
+  type QuotaStrategy,
   type SimulatedSite,
-  TERMS,
 } from "./quota_ways.ts";
 import {
   type Arrival,
@@ -16,21 +16,22 @@
   type WorkloadWorkspace,
 } from "./quota_workload.ts";
 
-const WINDOW_MILLISECONDS = TERMS.windowSeconds * 1_000;
-/** Every so many gateways one is cut off for a while. */
-const CUT_EVERY = 3;
+const WINDOW_MILLISECONDS = QUOTA_TERMS.windowSeconds * 1_000;
+/** One in this number of gateways is cut off from the leader during the partition. */
+const PARTITIONED_ONE_IN = 3;
 
-/** What a simulation showed. */
+/** Result of a simulation. */
 export interface QuotaResult {
   readonly way: string;
   readonly gateways: number;
   readonly requests: number;
-  /** Most that a workspace sent in a window, as a part of what is allowed. */
+  /** Most requests of a workspace in a window, divided by the allowed number. */
   readonly worstSpan: number;
-  /** Refused although the workspace had asked for no more than its quota. */
+  /** Refused requests of workspaces that were within their quota. */
   readonly refusedInside: number;
+  /** Refused requests of workspaces that were over their quota. */
   readonly refusedBeyond: number;
-  /** Refused since no leader was reached. */
+  /** Requests refused because no leader was reachable. */
   readonly unavailable: number;
   readonly meanWaitMilliseconds: number;
   readonly messagesPerSecond: number;
@@ -38,30 +39,30 @@
   readonly commandsPerSecond: number;
 }
 
-interface Decided {
+interface DecidedArrival {
   readonly arrival: Arrival;
   readonly decision: QuotaDecision;
   readonly at: number;
 }
 
-/** What is played. */
+/** Parameters of a simulation. */
 export interface QuotaSimulation {
   readonly seed: number;
   readonly gateways: number;
-  readonly createWay: (site: SimulatedSite) => QuotaWay;
-  /** When the day ends, ms; usually the end of {@linkcode TIMELINE}. */
+  readonly createStrategy: (site: SimulatedSite) => QuotaStrategy;
+  /** End of the arrivals, ms; defaults to the end of {@linkcode TIMELINE}. */
   readonly endsAt?: number;
 }
 
 /**
- * Plays a day of {@linkcode TIMELINE}.
+ * Simulates a strategy over the events of {@linkcode TIMELINE}.
  *
  * @example
  * ```ts
  * const { worstSpan } = await simulateQuotas({
  *   seed: 1,
  *   gateways: 22,
- *   createWay: (site) => new FixedShares(site),
+ *   createStrategy: (site) => new FixedShares(site),
  * });
  * ```
  */
@@ -75,20 +76,20 @@
   );
   const events = new EventQueue();
   let now = 0;
-  const way = plan.createWay({
+  const strategy = plan.createStrategy({
     gateways,
     clock: () => now,
     siteClock: () => findSiteTime(now),
-    canReach: (gateway) => canReachLeader(gateway, now),
+    canReachLeader: (gateway) => canReachLeader(gateway, now),
     wait: (milliseconds) =>
       new Promise((resolve) =>
         events.schedule(now + milliseconds, () => resolve())
       ),
   });
-  const decided: Decided[] = [];
+  const decided: DecidedArrival[] = [];
   for (const arrival of arrivals) {
     events.schedule(arrival.at, () => {
-      void way.decide(arrival).then((decision) =>
+      void strategy.decide(arrival).then((decision) =>
         decided.push({ arrival, decision, at: now })
       );
     });
@@ -98,44 +99,47 @@
     events.runUntil(now);
     await setImmediate();
   }
-  return describeResult({ plan, way, workspaces, arrivals, decided });
+  return describeResult({ plan, strategy, workspaces, arrivals, decided });
 }
 
 function findSiteTime(now: number): number {
-  const { darkAt, darkUntil } = TIMELINE;
-  if (now < darkAt) return now;
-  return now < darkUntil ? darkAt : now - (darkUntil - darkAt);
+  const { leaderlessAt, leaderlessUntil } = TIMELINE;
+  if (now < leaderlessAt) return now;
+  return now < leaderlessUntil
+    ? leaderlessAt
+    : now - (leaderlessUntil - leaderlessAt);
 }
 
 function canReachLeader(gateway: number, now: number): boolean {
-  const { darkAt, darkUntil, cutAt, cutUntil } = TIMELINE;
-  if (now >= darkAt && now < darkUntil) return false;
-  const isCut = now >= cutAt && now < cutUntil;
-  return !isCut || gateway % CUT_EVERY !== 0;
+  const { leaderlessAt, leaderlessUntil, partitionAt, partitionUntil } =
+    TIMELINE;
+  if (now >= leaderlessAt && now < leaderlessUntil) return false;
+  const isPartitioned = now >= partitionAt && now < partitionUntil;
+  return !isPartitioned || gateway % PARTITIONED_ONE_IN !== 0;
 }
 
-function describeResult(played: {
+function describeResult(simulated: {
   readonly plan: QuotaSimulation;
-  readonly way: QuotaWay;
+  readonly strategy: QuotaStrategy;
   readonly workspaces: readonly WorkloadWorkspace[];
   readonly arrivals: readonly Arrival[];
-  readonly decided: readonly Decided[];
+  readonly decided: readonly DecidedArrival[];
 }): QuotaResult {
-  const { plan, way, workspaces, arrivals, decided } = played;
+  const { plan, strategy, workspaces, arrivals, decided } = simulated;
   const seconds = TIMELINE.endsAt / 1_000;
   const sent = decided.filter(({ decision }) => decision === "sent");
   const refused = decided.filter(({ decision }) => decision === "over");
-  const beyond = findBeyond(arrivals);
+  const beyond = findOverQuota(arrivals);
   const inside = refused.filter(({ arrival }) => !beyond.has(arrival));
   const waits = sent.map(({ arrival, at }) => at - arrival.at);
   const spans = workspaces.map((workspace) =>
-    findWorstSpan(
+    findWorstWindow(
       workspace,
       sent.filter(({ arrival }) => arrival.workspace === workspace),
     )
   );
   return {
-    way: way.name,
+    way: strategy.name,
     gateways: plan.gateways,
     requests: arrivals.length,
     worstSpan: Math.max(...spans),
@@ -143,14 +147,14 @@
     refusedBeyond: refused.length - inside.length,
     unavailable: decided.length - sent.length - refused.length,
     meanWaitMilliseconds: sum(waits) / waits.length,
-    messagesPerSecond: way.cost.messages / seconds,
-    bytesPerSecond: way.cost.bytes / seconds,
-    commandsPerSecond: way.cost.commands / seconds,
+    messagesPerSecond: strategy.cost.messages / seconds,
+    bytesPerSecond: strategy.cost.bytes / seconds,
+    commandsPerSecond: strategy.cost.commands / seconds,
   };
 }
 
-/** Requests of workspaces that had asked for more than their quota in the window. */
-function findBeyond(arrivals: readonly Arrival[]): ReadonlySet<Arrival> {
+/** Returns the requests that exceeded the quota of their workspace in the window. */
+function findOverQuota(arrivals: readonly Arrival[]): ReadonlySet<Arrival> {
   const beyond = new Set<Arrival>();
   const recent = new Map<string, number[]>();
   for (const arrival of arrivals) {
@@ -160,19 +164,20 @@
     );
     times.push(arrival.at);
     recent.set(name, times);
-    if (times.length > findAllowed(arrival.workspace)) beyond.add(arrival);
+    if (times.length > findLimit(arrival.workspace)) beyond.add(arrival);
   }
   return beyond;
 }
 
-function findWorstSpan(
+function findWorstWindow(
   workspace: WorkloadWorkspace,
-  sent: readonly Decided[],
+  sent: readonly DecidedArrival[],
 ): number {
   const times = sent.map(({ at }) => at).toSorted((left, right) =>
     left - right
   );
-  const allowed = findAllowed(workspace) * (1 + TERMS.overage) + TERMS.slack;
+  const allowed = findLimit(workspace) * (1 + QUOTA_TERMS.overage) +
+    QUOTA_TERMS.slack;
   let first = 0;
   let most = 0;
   for (const [index, at] of times.entries()) {
@@ -182,8 +187,10 @@
   return most / allowed;
 }
 
-function findAllowed({ ratePerSecond, burst }: WorkloadWorkspace): number {
-  return ratePerSecond * TERMS.windowSeconds + burst;
+function findLimit(
+  { ratePerSecond, burst }: WorkloadWorkspace,
+): number {
+  return ratePerSecond * QUOTA_TERMS.windowSeconds + burst;
 }
 
 function sum(values: readonly number[]): number {
--- a/packages/bench/src/quotas/simulate_quotas_test.ts
+++ b/packages/bench/src/quotas/simulate_quotas_test.ts
@@ -6,36 +6,36 @@
 const SEED = 1;
 const GATEWAYS = 22;
 
-const WAYS = [LeaderPermits.batched, LeaderPermits.leased];
+const STRATEGIES = [LeaderPermits.batched, LeaderPermits.leased];
 
-for (const createWay of WAYS) {
-  // Guards against more than a quota after a flood, a cut or a change of leaders.
-  test("permits of the leader hold quotas through a whole day", async (t) => {
-    const plan = { seed: SEED, gateways: GATEWAYS, createWay };
+for (const createStrategy of STRATEGIES) {
+  // Guards against exceeded quotas after a flood, a partition or a change of leader.
+  test("permits of the leader enforce quotas throughout the timeline", async (t) => {
+    const plan = { seed: SEED, gateways: GATEWAYS, createStrategy };
     const result = await simulateQuotas(plan);
     t.ok(result.worstSpan <= 1);
-    t.ok(result.refusedBeyond > 0, "the workspace that floods is held");
+    t.ok(result.refusedBeyond > 0, "the flooding workspace is limited");
   });
 }
 
-// Guards against 429 for workspaces inside their quotas whose callers move or come at once.
-test("permits of the leader refuse nobody in a shift and a burst", async (t) => {
-  for (const createWay of WAYS) {
+// Guards against status 429 for workspaces within their quota after a shift or in a burst.
+test("permits of the leader refuse no request in a shift and a burst", async (t) => {
+  for (const createStrategy of STRATEGIES) {
     const result = await simulateQuotas({
       seed: SEED,
       gateways: GATEWAYS,
-      createWay,
+      createStrategy,
       endsAt: TIMELINE.floodAt,
     });
     t.equal(result.refusedInside, 0, result.way);
   }
 });
 
-test("fixed shares hold quotas, and refuse what is not spread evenly", async (t) => {
+test("fixed shares enforce quotas but refuse unevenly spread requests", async (t) => {
   const result = await simulateQuotas({
     seed: SEED,
     gateways: GATEWAYS,
-    createWay: (site) => new FixedShares(site),
+    createStrategy: (site) => new FixedShares(site),
   });
   t.ok(result.worstSpan <= 1);
   t.ok(result.refusedInside > 0);
--- a/packages/bench/src/recovery/bench_recovery.ts
+++ b/packages/bench/src/recovery/bench_recovery.ts
@@ -1,4 +1,7 @@
-/** `npm run bench:recovery`: how long the site is away after a loss, and until it is whole again. */
+/**
+ * `npm run bench:recovery`: measures how long writes fail after the loss of a
+ * leader, and how long a replica takes to recover from the loss of its disk.
+ */
 
 import { mkdirSync, rmSync } from "node:fs";
 import { join, resolve } from "node:path";
@@ -62,11 +65,15 @@
     await site.waitUntilHealthy();
     await fillHistory(client);
     const rounds = options.rounds;
-    const away = await killLeaders(site, client, rounds);
-    print(describe("unavailable after kill -9 of a leader", away));
-    const whole = await loseDisks(site, client, rounds);
-    print(describe("back to full redundancy after a lost disk", whole));
-    print(`Results: ${recordResults("bench-recovery", { away, whole })}`);
+    const leaderLoss = await measureLeaderLoss(site, client, rounds);
+    print(describe("unavailable after kill -9 of a leader", leaderLoss));
+    const diskLoss = await measureDiskLoss(site, client, rounds);
+    print(describe("back to full redundancy after a lost disk", diskLoss));
+    print(
+      `Results: ${
+        recordResults("bench-recovery", { away: leaderLoss, whole: diskLoss })
+      }`,
+    );
     client.close();
   } finally {
     await site.kill();
@@ -74,7 +81,7 @@
   }
 }
 
-/** Gives the state a size, so that a repair has something to carry over. */
+/** Fills the state with histories, so that recovery has data to transfer. */
 async function fillHistory(client: SiteClient): Promise<void> {
   for (let number = 0; number < HISTORY_PROGRAMS; number++) {
     const created = await client.createProgram({
@@ -89,8 +96,8 @@
   }
 }
 
-/** Kills the leader of one group after the other and waits for the next write. */
-async function killLeaders(
+/** Kills the leaders of the groups in turn and measures the time to the next write. */
+async function measureLeaderLoss(
   site: Site,
   client: SiteClient,
   rounds: number,
@@ -114,8 +121,8 @@
   return recorder.summarize();
 }
 
-/** Loses the disk of one replica after the other and waits until it votes again. */
-async function loseDisks(
+/** Deletes the data of the replicas in turn and measures the time to their recovery. */
+async function measureDiskLoss(
   site: Site,
   client: SiteClient,
   rounds: number,
