--- a/packages/bench/src/site/free_ports.ts
+++ b/packages/bench/src/site/free_ports.ts
@@ -51,7 +51,7 @@
 }
 
 /** Returns the given port if it is free, and otherwise another free port. */
-export async function findPortNear(port: number): Promise<number> {
+export async function choosePort(port: number): Promise<number> {
   if (await isFree(port)) return port;
   return (await findFreePorts(1))[0] ?? 0;
 }
--- a/packages/bench/src/site/site_client.ts
+++ b/packages/bench/src/site/site_client.ts
@@ -160,7 +160,7 @@
 class StreamReader {
   readonly #startedAt: number;
   readonly #chunkTimes: number[] = [];
-  #rest = "";
+  #incompleteLine = "";
   #text = "";
   #body: unknown;
   #whole = false;
@@ -170,14 +170,16 @@
   }
 
   push(bytes: Buffer, now: number): void {
-    const lines = (this.#rest + String(bytes)).split("\n");
-    this.#rest = lines.pop() ?? "";
-    for (const line of lines) this.#takeLine(line, now);
+    const lines = (this.#incompleteLine + String(bytes)).split("\n");
+    this.#incompleteLine = lines.pop() ?? "";
+    for (const line of lines) this.#readLine(line, now);
   }
 
   finish(status: number): StreamedAnswer {
     if (status !== 200) {
-      this.#body = JSON.parse(this.#rest === "" ? "{}" : this.#rest);
+      this.#body = JSON.parse(
+        this.#incompleteLine === "" ? "{}" : this.#incompleteLine,
+      );
     }
     return {
       status,
@@ -188,7 +190,7 @@
     };
   }
 
-  #takeLine(line: string, now: number): void {
+  #readLine(line: string, now: number): void {
     if (!line.startsWith("data:")) return;
     const data = line.slice(5).trim();
     if (data === "[DONE]") {
--- a/packages/bench/src/site/start.ts
+++ b/packages/bench/src/site/start.ts
@@ -7,7 +7,7 @@
 import { Command } from "commander";
 import { type FakesProcess, startFakes } from "./fakes_process.ts";
 import { runFirnwatchProgram } from "./firnwatch_program.ts";
-import { findPortNear } from "./free_ports.ts";
+import { choosePort } from "./free_ports.ts";
 import { killPreviousRun, recordPids } from "./previous_run.ts";
 import { OUTFIT_TOKENS, seedResources } from "./seed_resources.ts";
 import { Site } from "./site.ts";
@@ -60,8 +60,8 @@
     engine: {},
   });
   const httpPorts = [
-    await findPortNear(FIRST_HTTP_PORT),
-    await findPortNear(SECOND_HTTP_PORT),
+    await choosePort(FIRST_HTTP_PORT),
+    await choosePort(SECOND_HTTP_PORT),
   ];
   const site = new Site({
     folder,
--- a/packages/bench/src/slopes/capacity_page.ts
+++ b/packages/bench/src/slopes/capacity_page.ts
@@ -47,7 +47,7 @@
   addControlTable(page);
   addReplicaTable(page);
   addInForce(page);
-  addMeasured(page);
+  addMeasurements(page);
   page.lines.push(CAPACITY_ASSUMPTIONS, CAPACITY_EVENTS, CAPACITY_SWEEPS);
   return page.lines.join("\n");
 }
@@ -139,7 +139,7 @@
   page.lines.push("");
 }
 
-function addMeasured(page: Page): void {
+function addMeasurements(page: Page): void {
   page.lines.push("## What was measured", "");
   for (const { unit, sizes } of page.dimensions) {
     page.lines.push(
