--- a/packages/bench/src/cost/bench_cost.ts
+++ b/packages/bench/src/cost/bench_cost.ts
@@ -13,7 +13,7 @@
 import { GatewaySite } from "../gateways/gateway_site.ts";
 import { TEST_DOCUMENT } from "../gateways/test_document.ts";
 import { recordResults } from "../measure/record_results.ts";
-import { CostMeter, type CostRow } from "./cost_watch.ts";
+import { CostMeter, type CostRow } from "./cost_meter.ts";
 import { sendTurns, type TurnLoad } from "./turn_load.ts";
 
 /** Time for startup work after the site is ready, ms; it is not counted as idle. */
--- a/packages/bench/src/quotas/bench_quotas.ts
+++ b/packages/bench/src/quotas/bench_quotas.ts
@@ -6,7 +6,7 @@
   LeaderPermits,
   type QuotaStrategy,
   type SimulatedSite,
-} from "./quota_ways.ts";
+} from "./quota_strategies.ts";
 import { simulateQuotas } from "./simulate_quotas.ts";
 
 const GATEWAYS = [22, 300];
--- a/packages/bench/src/quotas/simulate_quotas.ts
+++ b/packages/bench/src/quotas/simulate_quotas.ts
@@ -7,7 +7,7 @@
   type QuotaDecision,
   type QuotaStrategy,
   type SimulatedSite,
-} from "./quota_ways.ts";
+} from "./quota_strategies.ts";
 import {
   type Arrival,
   createArrivals,
--- a/packages/bench/src/quotas/simulate_quotas_test.ts
+++ b/packages/bench/src/quotas/simulate_quotas_test.ts
@@ -1,5 +1,5 @@
 import { test } from "tap";
-import { FixedShares, LeaderPermits } from "./quota_ways.ts";
+import { FixedShares, LeaderPermits } from "./quota_strategies.ts";
 import { TIMELINE } from "./quota_workload.ts";
 import { simulateQuotas } from "./simulate_quotas.ts";
 
