--- a/packages/bench/src/soak/fault_schedule.ts
+++ b/packages/bench/src/soak/fault_schedule.ts
@@ -204,7 +204,7 @@
   const name = chooseDaemonName(targets, random, "replica");
   const { process } = site.get(name);
   await process.kill();
-  site.loseData(name);
+  site.deleteData(name);
   process.start();
   await site.waitUntilHealthy([name]);
   const second = chooseDaemonName(targets, random, "replica");
