--- a/packages/bench/src/gateway_soak/caller_records.ts
+++ b/packages/bench/src/gateway_soak/caller_records.ts
@@ -94,11 +94,14 @@
         runs.set(run.callId, (runs.get(run.callId) ?? 0) + 1);
         const call = this.#calls.get(run.callId);
         if (call === undefined) {
-          this.fail(PROMISES.EXACT_HISTORY, `${run.callId} was sent by nobody`);
+          this.fail(
+            PROMISES.EXACT_HISTORY,
+            `${run.callId} was not sent by any caller`,
+          );
         } else if (call.prompt !== undefined && call.prompt !== run.body) {
           this.fail(
             PROMISES.EXACT_HISTORY,
-            `${run.callId} got another history`,
+            `${run.callId} got an unexpected history`,
           );
         }
         if (call !== undefined) this.#checkWorkspace(call, run.headers);
@@ -131,7 +134,7 @@
     if (lateMilliseconds <= REVOCATION_MILLISECONDS) return;
     this.fail(
       PROMISES.REVOKED,
-      `${callId} was sent ${lateMilliseconds} ms after it`,
+      `${callId} was sent ${lateMilliseconds} ms after the revocation`,
     );
   }
 
--- a/packages/bench/src/gateway_soak/document_operator.ts
+++ b/packages/bench/src/gateway_soak/document_operator.ts
@@ -13,7 +13,7 @@
 
 /** Every n-th version is a large document, for this n. */
 const LARGE_DOCUMENT_INTERVAL = 5;
-/** Routes added to a large document; one change of a site has added this many. */
+/** Number of routes added to a large document; a real site added as many in one change. */
 const ADDED_ROUTES = 1_400;
 const PAUSE_MILLISECONDS = 400;
 /** Timeout of a request, ms. */
--- a/packages/bench/src/gateway_soak/gateway_soak.ts
+++ b/packages/bench/src/gateway_soak/gateway_soak.ts
@@ -1,4 +1,7 @@
-/** `npm run soak:gateways -- --seed N --seconds S`. */
+/**
+ * `npm run soak:gateways -- --seed N --seconds S`: runs a gateway soak for each
+ * seed and prints which promises were broken.
+ */
 
 import { resolve } from "node:path";
 import process from "node:process";
--- a/packages/bench/src/gateway_soak/guest_caller.ts
+++ b/packages/bench/src/gateway_soak/guest_caller.ts
@@ -1,4 +1,4 @@
-/** A caller that exceeds its workspace's quota, with keys that are replaced. */
+/** A caller that exceeds its workspace's quota and may use a key that was replaced. */
 
 import { performance } from "node:perf_hooks";
 import { sleep } from "@mallowlift/core";
--- a/packages/bench/src/gateway_soak/program_caller.ts
+++ b/packages/bench/src/gateway_soak/program_caller.ts
@@ -22,7 +22,7 @@
 const NOT_FOUND = 404;
 const PAYMENT_REQUIRED = 402;
 /** Time after which some callers disconnect, ms; it falls within a turn. */
-const LEAVE_AFTER_MILLISECONDS = 4;
+const DISCONNECT_AFTER_MILLISECONDS = 4;
 const MAX_PAUSE_MILLISECONDS = 40;
 
 /** Options of {@linkcode ProgramCaller}. */
@@ -104,7 +104,7 @@
       body: input,
       prompt,
       mayRepeat: false,
-      leavesEarly: random.happens(5),
+      disconnectsEarly: random.happens(5),
       headers: {
         "x-program": program,
         "x-most-tokens": String(MAX_TOKENS_PER_TURN),
@@ -135,7 +135,7 @@
       body: `tool-${callId}`,
       prompt: `tool-${callId}`,
       mayRepeat,
-      leavesEarly: false,
+      disconnectsEarly: false,
       headers: {},
     });
     const isWhole = seen.status === OK && seen.whole;
@@ -150,7 +150,7 @@
     readonly body: string;
     readonly prompt: string;
     readonly mayRepeat: boolean;
-    readonly leavesEarly: boolean;
+    readonly disconnectsEarly: boolean;
     readonly headers: Readonly<Record<string, string>>;
   }): Promise<CallResult> {
     const { records, random, site } = this.#options;
@@ -168,8 +168,8 @@
         authorization: `Bearer ${key}`,
         ...call.headers,
       },
-      signal: call.leavesEarly
-        ? AbortSignal.timeout(LEAVE_AFTER_MILLISECONDS)
+      signal: call.disconnectsEarly
+        ? AbortSignal.timeout(DISCONNECT_AFTER_MILLISECONDS)
         : AbortSignal.timeout(20_000),
     });
     Object.assign(sent, { seen });
--- a/packages/bench/src/gateways/burst_recovery_test.ts
+++ b/packages/bench/src/gateways/burst_recovery_test.ts
@@ -24,15 +24,15 @@
 /** Input of each turn, 8 kB. */
 const TURN_INPUT = "x".repeat(8_000);
 const BURST_TURNS = 1_000;
-/** Interval of the turns in the burst, ms: six times the followers' bandwidth. */
+/** Interval of the turns in the burst, ms; it takes six times the followers' bandwidth. */
 const BURST_INTERVAL_MILLISECONDS = 3;
 const LATER_TURNS = 400;
 /**
- * Number of the last turns, of which 95 % must be served. Earlier ones may fail:
- * the followers cannot carry them beside the retries of the burst.
+ * Number of the last turns, of which 95 % must be served. Earlier ones may fail,
+ * because the followers lack the bandwidth for them and the retries of the burst.
  */
 const LAST_TURNS = 100;
-/** Interval of the later turns, ms: two thirds of the followers' bandwidth. */
+/** Interval of the later turns, ms; it takes two thirds of the followers' bandwidth. */
 const LATER_INTERVAL_MILLISECONDS = 30;
 /** Timeout of the test, ms; it usually takes 20 s. */
 const TEST_TIMEOUT_MILLISECONDS = 120_000;
@@ -191,7 +191,7 @@
     running,
     "mallowlift_unheard_answers_total",
   );
-  t.comment(`proposals: ${proposals}, of which nobody awaited: ${unawaited}`);
+  t.comment(`proposals: ${proposals}, without a waiting caller: ${unawaited}`);
   t.ok(
     unawaited < proposals / 10,
     "few proposals are replicated without a waiting caller",
--- a/packages/bench/src/gateways/large_document_test.ts
+++ b/packages/bench/src/gateways/large_document_test.ts
@@ -33,7 +33,7 @@
 /** Timeout for conditions that must become true eventually, ms. */
 const EVENTUAL_TIMEOUT_MILLISECONDS = 20_000;
 const POLL_MILLISECONDS = 100;
-/** Timeout of an operator's tool for an answer, ms, without any routes. */
+/** Timeout of an operator's tool for an answer, ms; each route adds to it. */
 const OPERATOR_TIMEOUT_MILLISECONDS = 1_000;
 /** Additional timeout of an operator's tool for each route, ms. */
 const OPERATOR_TIMEOUT_PER_ROUTE_MILLISECONDS = 3;
--- a/packages/bench/src/gateways/turns_without_history_test.ts
+++ b/packages/bench/src/gateways/turns_without_history_test.ts
@@ -8,7 +8,7 @@
 const EVENTS = 20;
 const POLL_MILLISECONDS = 10;
 
-test("a turn on a route without history needs the stores only at its begin", async (t) => {
+test("a turn on a route without history needs the stores only when it begins", async (t) => {
   const { site, upstreams, url } = await startTestSite(t);
   const [upstream] = upstreams;
   if (upstream === undefined) throw new Error("The site has no upstream");
--- a/packages/bench/src/measure/number_option_test.ts
+++ b/packages/bench/src/measure/number_option_test.ts
@@ -6,8 +6,12 @@
 test("number options accept only numbers within their bounds", (t) => {
   const read = createNumberParser({ minimum: 1, maximum: 10 });
   t.equal(read("10"), 10);
-  for (const wrong of ["abc", "", "0", "11", "1.5", "1e1", "-1", "NaN"]) {
-    t.throws(() => read(wrong), { code: "commander.invalidArgument" }, wrong);
+  for (const invalid of ["abc", "", "0", "11", "1.5", "1e1", "-1", "NaN"]) {
+    t.throws(
+      () => read(invalid),
+      { code: "commander.invalidArgument" },
+      invalid,
+    );
   }
   t.equal(
     createNumberParser({ minimum: 0, maximum: 1, allowsFraction: true })("0.9"),
@@ -19,8 +23,11 @@
 });
 
 test("an invalid option ends a tool with an error and a nonzero exit code", (t) => {
-  const run = (script: string, ...words: string[]) =>
-    spawnSync(process.execPath, [join(__dirname, "..", script), ...words], {
+  const run = (script: string, ...scriptArguments: string[]) =>
+    spawnSync(process.execPath, [
+      join(__dirname, "..", script),
+      ...scriptArguments,
+    ], {
       encoding: "utf8",
     });
   const cases = [
@@ -31,11 +38,11 @@
     ["path/bench_path.js", "--seconds", "-"],
     ["recovery/bench_recovery.js", "--rounds", "x"],
   ] as const;
-  for (const [script, ...words] of cases) {
-    const ended = run(script, ...words);
-    t.not(ended.status, 0, words.join(" "));
-    t.match(ended.stderr, /error: option/, words.join(" "));
-    t.equal(ended.stdout, "");
+  for (const [script, ...scriptArguments] of cases) {
+    const result = run(script, ...scriptArguments);
+    t.not(result.status, 0, scriptArguments.join(" "));
+    t.match(result.stderr, /error: option/, scriptArguments.join(" "));
+    t.equal(result.stdout, "");
   }
   t.end();
 });
--- a/packages/bench/src/path/run_load.ts
+++ b/packages/bench/src/path/run_load.ts
@@ -12,7 +12,10 @@
   readonly seconds: number;
   /** Number of calls of one program. */
   readonly turns: number;
-  /** Mean pause for tools between two calls; each is 0.5 to 1.5 times that, uniformly. */
+  /**
+   * Mean pause for tools between two calls, ms. Each pause is uniformly
+   * distributed between 0.5 and 1.5 times the mean.
+   */
   readonly pauseMilliseconds: number;
 }
 
--- a/packages/bench/src/policy/run_workload.ts
+++ b/packages/bench/src/policy/run_workload.ts
@@ -198,7 +198,9 @@
     }
     const name = reason ?? "broken";
     recorder.refusals.set(name, (recorder.refusals.get(name) ?? 0) + 1);
-    const retry = Number(answer.body?.error?.retry_after_ms ?? 0);
-    await sleep(Math.max(MIN_RETRY_MILLISECONDS, retry));
+    const retryAfterMilliseconds = Number(
+      answer.body?.error?.retry_after_ms ?? 0,
+    );
+    await sleep(Math.max(MIN_RETRY_MILLISECONDS, retryAfterMilliseconds));
   }
 }
--- a/packages/bench/src/quotas/quota_strategies.ts
+++ b/packages/bench/src/quotas/quota_strategies.ts
@@ -21,7 +21,7 @@
 import { Ok } from "ts-results";
 import type { Arrival, WorkloadWorkspace } from "./quota_workload.ts";
 
-/** Quota terms of a site: a window of 5 s, a tenth and 20 requests of overage. */
+/** Quota terms of a site: a window of 5 s, and an overage of a tenth plus 20 requests. */
 export const QUOTA_TERMS: QuotaTerms = {
   windowSeconds: 5,
   overage: 0.1,
@@ -191,6 +191,6 @@
     { name, ratePerSecond, burst, keyDigests: [] },
     { version: 1, terms: QUOTA_TERMS },
   );
-  if (quota === undefined) throw new Error("Every workspace has a quota");
+  if (quota === undefined) throw new Error("The workspace has no quota");
   return quota;
 }
--- a/packages/bench/src/quotas/quota_workload.ts
+++ b/packages/bench/src/quotas/quota_workload.ts
@@ -124,6 +124,7 @@
  */
 function drawCount(random: Random, expected: number): number {
   const whole = Math.floor(expected);
-  const point = random.between(0, RANDOM_RESOLUTION - 1) / RANDOM_RESOLUTION;
-  return whole + (point < expected - whole ? 1 : 0);
+  const randomShare = random.between(0, RANDOM_RESOLUTION - 1) /
+    RANDOM_RESOLUTION;
+  return whole + (randomShare < expected - whole ? 1 : 0);
 }
--- a/packages/bench/src/quotas/simulate_quotas.ts
+++ b/packages/bench/src/quotas/simulate_quotas.ts
@@ -129,10 +129,12 @@
   const seconds = TIMELINE.endsAt / 1_000;
   const sent = decided.filter(({ decision }) => decision === "sent");
   const refused = decided.filter(({ decision }) => decision === "over");
-  const beyond = findOverQuota(arrivals);
-  const inside = refused.filter(({ arrival }) => !beyond.has(arrival));
+  const overQuota = findOverQuota(arrivals);
+  const refusedWithinQuota = refused.filter(({ arrival }) =>
+    !overQuota.has(arrival)
+  );
   const waits = sent.map(({ arrival, at }) => at - arrival.at);
-  const spans = workspaces.map((workspace) =>
+  const windowRatios = workspaces.map((workspace) =>
     findWorstWindow(
       workspace,
       sent.filter(({ arrival }) => arrival.workspace === workspace),
@@ -142,9 +144,9 @@
     way: strategy.name,
     gateways: plan.gateways,
     requests: arrivals.length,
-    worstSpan: Math.max(...spans),
-    refusedInside: inside.length,
-    refusedBeyond: refused.length - inside.length,
+    worstSpan: Math.max(...windowRatios),
+    refusedInside: refusedWithinQuota.length,
+    refusedBeyond: refused.length - refusedWithinQuota.length,
     unavailable: decided.length - sent.length - refused.length,
     meanWaitMilliseconds: sum(waits) / waits.length,
     messagesPerSecond: strategy.cost.messages / seconds,
@@ -155,18 +157,18 @@
 
 /** Returns the requests that exceeded the quota of their workspace in the window. */
 function findOverQuota(arrivals: readonly Arrival[]): ReadonlySet<Arrival> {
-  const beyond = new Set<Arrival>();
-  const recent = new Map<string, number[]>();
+  const overQuota = new Set<Arrival>();
+  const recentTimes = new Map<string, number[]>();
   for (const arrival of arrivals) {
     const { name } = arrival.workspace;
-    const times = (recent.get(name) ?? []).filter((at) =>
+    const times = (recentTimes.get(name) ?? []).filter((at) =>
       at > arrival.at - WINDOW_MILLISECONDS
     );
     times.push(arrival.at);
-    recent.set(name, times);
-    if (times.length > findLimit(arrival.workspace)) beyond.add(arrival);
+    recentTimes.set(name, times);
+    if (times.length > findLimit(arrival.workspace)) overQuota.add(arrival);
   }
-  return beyond;
+  return overQuota;
 }
 
 function findWorstWindow(
@@ -179,12 +181,12 @@
   const allowed = findLimit(workspace) * (1 + QUOTA_TERMS.overage) +
     QUOTA_TERMS.slack;
   let first = 0;
-  let most = 0;
+  let maxCount = 0;
   for (const [index, at] of times.entries()) {
     while ((times[first] ?? at) <= at - WINDOW_MILLISECONDS) first++;
-    most = Math.max(most, index - first + 1);
+    maxCount = Math.max(maxCount, index - first + 1);
   }
-  return most / allowed;
+  return maxCount / allowed;
 }
 
 function findLimit(
--- a/packages/bench/src/recovery/bench_recovery.ts
+++ b/packages/bench/src/recovery/bench_recovery.ts
@@ -171,9 +171,9 @@
   }
 }
 
-function describe(what: string, summary: LatencySummary): string {
+function describe(label: string, summary: LatencySummary): string {
   const { count, p50, p95 } = summary;
-  return `${what}: p50 ${p50} ms, p95 ${p95} ms in ${count} rounds`;
+  return `${label}: p50 ${p50} ms, p95 ${p95} ms in ${count} rounds`;
 }
 
 if (require.main === module) {
--- a/packages/bench/src/site/previous_run.ts
+++ b/packages/bench/src/site/previous_run.ts
@@ -16,14 +16,14 @@
 export function killPreviousRun(folder: string): number {
   const path = join(folder, "pids.json");
   if (!existsSync(path)) return 0;
-  let ended = 0;
+  let killed = 0;
   for (const pid of readPids(path)) {
     if (!isSiteProcess(pid, folder)) continue;
     process.kill(pid, "SIGKILL");
-    ended++;
+    killed++;
   }
   rmSync(path);
-  return ended;
+  return killed;
 }
 
 function readPids(path: string): readonly number[] {
@@ -41,11 +41,15 @@
  */
 function isSiteProcess(pid: number, folder: string): boolean {
   try {
-    const words = readFileSync(`/proc/${pid}/cmdline`, "utf8").split("\0");
-    const isDaemon = words.some((word) =>
-      word.startsWith(`${folder}/settings/`)
+    const commandArguments = readFileSync(`/proc/${pid}/cmdline`, "utf8").split(
+      "\0",
+    );
+    const isDaemon = commandArguments.some((argument) =>
+      argument.startsWith(`${folder}/settings/`)
+    );
+    const isFakes = commandArguments.some((argument) =>
+      argument.endsWith("/site/run_fakes.js")
     );
-    const isFakes = words.some((word) => word.endsWith("/site/run_fakes.js"));
     return isDaemon || isFakes;
   } catch {
     return false;
--- a/packages/bench/src/site/start.ts
+++ b/packages/bench/src/site/start.ts
@@ -30,8 +30,8 @@
     .opts<{ once?: boolean; folder: string }>();
   const folder = resolve(options.folder);
   mkdirSync(join(folder, "logs"), { recursive: true });
-  const ended = killPreviousRun(folder);
-  if (ended > 0) print(`Killed ${ended} processes of an earlier run`);
+  const killed = killPreviousRun(folder);
+  if (killed > 0) print(`Killed ${killed} processes of an earlier run`);
   const stopped = createDeferred<void>();
   process.once("SIGINT", () => stopped.resolve(undefined));
   process.once("SIGTERM", () => stopped.resolve(undefined));
--- a/packages/bench/src/slopes/capacity_model.ts
+++ b/packages/bench/src/slopes/capacity_model.ts
@@ -46,7 +46,7 @@
 /** One of {@linkcode MEASURES}. */
 export type Measure = typeof MEASURES[number];
 
-/** Extrapolated use of one measure by one part, as far as one dimension causes it. */
+/** Extrapolated value of one measure for one part: the share that one dimension causes. */
 export interface CapacityRow {
   readonly part: string;
   readonly measure: Measure;
--- a/packages/bench/src/slopes/dimensions.ts
+++ b/packages/bench/src/slopes/dimensions.ts
@@ -180,10 +180,10 @@
 async function measureResources(): Promise<DimensionResult> {
   const bench = await startBenchSite("resources");
   const sizes: SizeSample[] = [];
-  let made = 0;
+  let createdCount = 0;
   for (const size of [0, 250, 500, 1_000, 2_000]) {
-    await runInParallel(size - made, async (number) => {
-      const name = `resource-${made + number}`;
+    await runInParallel(size - createdCount, async (number) => {
+      const name = `resource-${createdCount + number}`;
       const body = { order_id: name, version: 0, spec: { level: 1 } };
       const path = `/v1/resources/priority/${name}`;
       await bench.client.send({
@@ -193,7 +193,7 @@
         body,
       });
     });
-    made = size;
+    createdCount = size;
     sizes.push({ size, samples: await sampleParts(bench) });
   }
   await bench.stop();
@@ -203,12 +203,14 @@
 async function measurePrograms(): Promise<DimensionResult> {
   const bench = await startBenchSite("programs");
   const sizes: SizeSample[] = [];
-  let made = 0;
+  let createdCount = 0;
   for (const size of [0, 1_000, 2_000, 4_000, 8_000]) {
-    await runInParallel(size - made, async (number) => {
-      await bench.client.createProgram({ request_id: `idle-${made + number}` });
+    await runInParallel(size - createdCount, async (number) => {
+      await bench.client.createProgram({
+        request_id: `idle-${createdCount + number}`,
+      });
     });
-    made = size;
+    createdCount = size;
     sizes.push({ size, samples: await sampleParts(bench) });
   }
   await bench.stop();
@@ -219,11 +221,11 @@
   const bench = await startBenchSite("history");
   const sizes: SizeSample[] = [];
   const content = "stake 12 ".repeat(28_000);
-  let made = 0;
+  let createdSize = 0;
   for (const size of [0, 8, 16, 32, 64]) {
-    await runInParallel((size - made) * 4, async (number) => {
+    await runInParallel((size - createdSize) * 4, async (number) => {
       const created = await bench.client.createProgram({
-        request_id: `long-${made}-${number}`,
+        request_id: `long-${createdSize}-${number}`,
       });
       await bench.client.callModel(String(created.body.program), {
         request_id: "long",
@@ -232,7 +234,7 @@
         max_tokens: 1,
       });
     }, 4);
-    made = size;
+    createdSize = size;
     sizes.push({ size, samples: await sampleParts(bench) });
   }
   await bench.stop();
--- a/packages/bench/src/soak/check_invariants.ts
+++ b/packages/bench/src/soak/check_invariants.ts
@@ -87,8 +87,8 @@
 }
 
 /**
- * Reads a history, and retries while the answer is 503. An unavailable service
- * is neither a leak nor a loss, but it must be back before the deadline.
+ * Reads a history, and retries while the answer is 503. A 503 shows neither
+ * leaked nor lost data, but the service must be back before the deadline.
  */
 async function readHistoryWithRetries(
   client: SiteClient,
@@ -216,11 +216,11 @@
     const call = record.calls.find((known) =>
       known.requestId === turn.request_id
     );
-    const isStray = call === undefined || call.notRun;
-    if (isStray && record.ended) {
+    const isUnexpected = call === undefined || call.notRun;
+    if (isUnexpected && record.ended) {
       records.fail(
         "history kept",
-        `${record.program} has a stray turn ${turn.request_id}`,
+        `${record.program} has an unexpected turn ${turn.request_id}`,
       );
     }
   }
--- a/packages/bench/src/soak/program_worker.ts
+++ b/packages/bench/src/soak/program_worker.ts
@@ -128,14 +128,17 @@
         const streamed = await client.streamModel(record.program, body);
         const receivedText = streamed.text;
         if (!expected.startsWith(receivedText)) {
-          records.fail("whole answer", `${requestId} was told foreign text`);
+          records.fail(
+            "whole answer",
+            `${requestId} received unexpected text`,
+          );
         }
         const isAnswered = streamed.status === 200 &&
           streamed.body?.choices !== undefined;
         if (isAnswered && (!streamed.whole || receivedText !== expected)) {
           records.fail(
             "whole answer",
-            `${requestId} was told ${receivedText.length} characters`,
+            `${requestId} received ${receivedText.length} characters`,
           );
         }
         return streamed;
--- a/packages/bench/src/soak/soak.ts
+++ b/packages/bench/src/soak/soak.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seed N --seconds S`. */
+/** `npm run soak -- --seed N --seconds S`: runs a soak and prints which promises held. */
 
 import { resolve } from "node:path";
 import process from "node:process";
--- a/packages/mocks/src/engine/stream_generation.ts
+++ b/packages/mocks/src/engine/stream_generation.ts
@@ -3,7 +3,7 @@
 import { PassThrough } from "node:stream";
 import type { Generation } from "./generation.ts";
 
-/** Number of events of a stream before one of another stream is injected. */
+/** Number of events after which an event of another stream is injected. */
 const FOREIGN_EVENT_AFTER_EVENTS = 2;
 
 /** Faults that can be injected into streams. */
