--- a/packages/boot/src/held_port.ts
+++ b/packages/boot/src/held_port.ts
@@ -17,7 +17,7 @@
  * @example
  * ```ts
  * const held = await HeldPort.open({ host: "127.0.0.1", port: 8080 });
- * await held.adopt(createServer(handler));
+ * await held.handOver(createServer(handler));
  * ```
  */
 export class HeldPort {
--- a/packages/daemon/src/health_server.ts
+++ b/packages/daemon/src/health_server.ts
@@ -53,7 +53,7 @@
     for (const server of this.#servers) await server.start();
   }
 
-  /** Stops all servers at once: an open health check is not worth a delay. */
+  /** Stops all servers without waiting for open health checks. */
   async stop(): Promise<void> {
     for (const server of this.#servers) await server.stop({ timeout: 0 });
   }
--- a/packages/daemon/src/stall_watch.ts
+++ b/packages/daemon/src/stall_watch.ts
@@ -15,7 +15,7 @@
 }
 
 /**
- * Logs and counts the time during which the process stood still. A frozen
+ * Logs and counts the time during which the process did not run. A frozen
  * process logs nothing, and the gap in its logs would look like idleness.
  *
  * @example
--- a/packages/daemon/src/stall_watch_test.ts
+++ b/packages/daemon/src/stall_watch_test.ts
@@ -3,7 +3,7 @@
 import { test } from "tap";
 import { StallWatch } from "./stall_watch.ts";
 
-test("a check that comes much too late reports how long the process stood still", async (t) => {
+test("a check that comes much too late reports how long the process did not run", async (t) => {
   const warnings: unknown[] = [];
   const logger: Logger = {
     ...SILENT_LOGGER,
--- a/packages/gateway/src/calls/classify_answer_test.ts
+++ b/packages/gateway/src/calls/classify_answer_test.ts
@@ -14,7 +14,7 @@
 }
 
 test("a late refusal of another request does not apply to this one", (t) => {
-  for (const more of [{ notRun: true }, { isOtherInstance: true }]) {
+  for (const more of [{ notRun: true }, { isWrongInstance: true }]) {
     const facts = createFacts({ ...more, callId: "earlier" });
     t.same(classifyAnswer(facts, "own"), { belonging: "other" });
   }
--- a/packages/gateway/src/calls/run_attempt.ts
+++ b/packages/gateway/src/calls/run_attempt.ts
@@ -25,7 +25,7 @@
  * retried at another upstream; larger answers are streamed to the caller.
  */
 const MAX_BUFFERED_BYTES = 1_048_576;
-/** Backoff after an upstream reports that it is full, ms: about one short request. */
+/** Backoff after an upstream reports that it is full, ms: about as long as one short request takes. */
 const FULL_BACKOFF_MILLISECONDS = 60;
 
 /**
--- a/packages/gateway/src/calls/run_plain_call.ts
+++ b/packages/gateway/src/calls/run_plain_call.ts
@@ -7,7 +7,7 @@
 import type { OpenCall } from "./open_call.ts";
 import { sendCall } from "./send_call.ts";
 
-/** Default retry delay for a refused caller, ms: a few short requests. */
+/** Default retry delay for a refused caller, ms: as long as a few short requests take. */
 export const RETRY_AFTER_MILLISECONDS = 250;
 
 /** Runs a call and answers its caller. */
--- a/packages/gateway/src/calls/turn_cache.ts
+++ b/packages/gateway/src/calls/turn_cache.ts
@@ -6,7 +6,7 @@
 /** Approximate memory of a turn in addition to its input and output, bytes. */
 const TURN_OVERHEAD_BYTES = 400;
 
-/** Maximum of a program's turns reported as known: enough for some parallel chains. */
+/** Maximum of a program's turns reported as known: enough for several parallel chains. */
 const MAX_KNOWN_TURNS = 8;
 
 interface CachedTurn {
--- a/packages/gateway/src/http/caller_server.ts
+++ b/packages/gateway/src/http/caller_server.ts
@@ -158,7 +158,7 @@
       call.val.disconnect();
     }
     call.val.close();
-    this.#noteEnd(call.val);
+    this.#recordEnd(call.val);
   }
 
   /**
@@ -262,7 +262,7 @@
     writeGatewayAnswer(response, dialect.writeFailure(error));
   }
 
-  #noteEnd(call: OpenCall): void {
+  #recordEnd(call: OpenCall): void {
     const { logger, metrics } = this.#options;
     const { facts, route, table, workspace, arrivedAt } = call.parts;
     const { status, code, upstream, sends, events } = call.summary;
--- a/packages/gateway/src/operators/operator_server.ts
+++ b/packages/gateway/src/operators/operator_server.ts
@@ -36,9 +36,9 @@
   readonly maxDocumentBytes: number;
   readonly #client: SiteClient;
 
-  constructor(client: SiteClient, mostDocumentBytes: number) {
+  constructor(client: SiteClient, maxDocumentBytes: number) {
     this.#client = client;
-    this.maxDocumentBytes = mostDocumentBytes;
+    this.maxDocumentBytes = maxDocumentBytes;
   }
 
   /** Checks the whole document and puts it in force. */
--- a/packages/gateway/src/quotas/permit_pool.ts
+++ b/packages/gateway/src/quotas/permit_pool.ts
@@ -23,9 +23,9 @@
 
 /** Timeout of one message to the leader, after which it is retried, ms. */
 const REQUEST_TIMEOUT_MILLISECONDS = 400;
-/** Delay before a retry after a failed message, ms: some round trips. */
+/** Delay before a retry after a failed message, ms: several round trips. */
 const RETRY_DELAY_MILLISECONDS = 30;
-/** The retry delay is about the time of an election. */
+/** Refusal while there is no leader; its retry delay is about the time of an election. */
 const NO_LEADER: CodedError = {
   code: RESULT_CODES.NO_QUORUM,
   message: RESULT_CODES.NO_QUORUM.meaning,
--- a/packages/gateway/src/quotas/quota_bound.ts
+++ b/packages/gateway/src/quotas/quota_bound.ts
@@ -30,8 +30,8 @@
  * A request is sent at most one permit lifetime after it was counted. The bound
  * therefore covers a span of the window plus one lifetime, so that it also holds
  * for the requests sent within any window. A longer span makes a steady load
- * reach the bound sooner, so the lifetime is as long as a load at exactly the
- * rate still fits within the bound, within the limits of
+ * reach the bound sooner. The lifetime is therefore the longest at which a load
+ * at exactly the rate still fits within the bound, limited to the range of
  * `PERMIT_LIFETIME_MILLISECONDS`.
  *
  * @example
--- a/packages/gateway/src/quotas/spare_policy.ts
+++ b/packages/gateway/src/quotas/spare_policy.ts
@@ -27,7 +27,7 @@
   }
 }
 
-/** Time constant of the demand average, ms: some pauses between two turns. */
+/** Time constant of the demand average, ms: several pauses between two turns. */
 const DEMAND_DECAY_MILLISECONDS = 2_000;
 
 interface Demand {
--- a/packages/gateway/src/site/document_follower_test.ts
+++ b/packages/gateway/src/site/document_follower_test.ts
@@ -64,14 +64,14 @@
 });
 
 test("a version that is announced during a read is read afterwards", async (t) => {
-  const held = createDeferred<void>();
+  const unblock = createDeferred<void>();
   const follower = createFollower(async ({ version }) => {
-    if (version === 3) await held.promise;
+    if (version === 3) await unblock.promise;
     return await createWholePart(version);
   });
   follower.announce(3);
   follower.announce(5);
-  held.resolve(undefined);
+  unblock.resolve(undefined);
   await follower.changed.wait();
   t.equal(
     follower.routes?.document.version,
@@ -84,14 +84,14 @@
 });
 
 test("a document from a reply is not replaced by an older one", async (t) => {
-  const held = createDeferred<void>();
+  const unblock = createDeferred<void>();
   const follower = createFollower(async ({ version }) => {
-    await held.promise;
+    await unblock.promise;
     return await createWholePart(version);
   });
   follower.announce(3);
   follower.receive(createDocument(4));
-  held.resolve(undefined);
+  unblock.resolve(undefined);
   follower.announce(6);
   await follower.changed.wait();
   t.equal(
--- a/packages/gateway/src/site/document_transfer_test.ts
+++ b/packages/gateway/src/site/document_transfer_test.ts
@@ -35,7 +35,7 @@
 function answerPuts(
   answer: (
     request: PutDocumentPart,
-    asked: number,
+    count: number,
   ) => Outcome<DocumentProgress>,
 ): { readonly client: Pick<SiteClient, "call">; readonly offsets: number[] } {
   const offsets: number[] = [];
@@ -47,7 +47,7 @@
 }
 
 function answerReads(
-  answer: (request: ReadDocumentPart, asked: number) => Outcome<DocumentPart>,
+  answer: (request: ReadDocumentPart, count: number) => Outcome<DocumentPart>,
 ): {
   readonly client: Pick<SiteClient, "callLeader">;
   readonly asked: ReadDocumentPart[];
@@ -102,8 +102,8 @@
   const silent = answerPuts(() => TIMEOUT);
   t.equal((await sendDocument(silent.client, DOCUMENT)).err, true);
   t.equal(silent.offsets.length, 1);
-  const forgetful = answerPuts(() => Ok({ version: 6, heldBytes: 0 }));
-  const ended = await sendDocument(forgetful.client, DOCUMENT);
+  const discarding = answerPuts(() => Ok({ version: 6, heldBytes: 0 }));
+  const ended = await sendDocument(discarding.client, DOCUMENT);
   t.equal(ended.err && ended.val.code.name, "OVERLOADED");
 });
 
--- a/packages/gateway/src/site/instance_list_follower_test.ts
+++ b/packages/gateway/src/site/instance_list_follower_test.ts
@@ -116,12 +116,12 @@
 test("no store is queried while the list is fresh", async (t) => {
   const { follower, asked } = createFollower(() => Ok(createListReply("1")));
   await follower.start();
-  const fed = setInterval(
+  const applyTimer = setInterval(
     () => follower.apply({ listAgeMilliseconds: 0 }, performance.now()),
     STALE_MILLISECONDS / 10,
   );
   await sleep(3 * STALE_MILLISECONDS);
-  clearInterval(fed);
+  clearInterval(applyTimer);
   await follower.stop();
   t.equal(asked.length, 0);
 });
--- a/packages/gateway/src/site/site_follower.ts
+++ b/packages/gateway/src/site/site_follower.ts
@@ -86,7 +86,8 @@
   }
 
   /**
-   * Time since the last request that the leader has replied to was sent, ms.
+   * Time since the sending of the latest request to which the leader has
+   * replied, ms.
    */
   findTimeSinceReply(now: number): number {
     return now - this.#repliedAt;
--- a/packages/gateway/src/upstreams/prompt_memory.ts
+++ b/packages/gateway/src/upstreams/prompt_memory.ts
@@ -1,6 +1,6 @@
 /**
  * Remembers which upstream has processed the parts of a prompt that this
- * gateway sent. A turn repeats the prompt of the turn before it, and a helper
+ * gateway sent. A turn repeats the prompt of the turn before it, and a child
  * program starts with the prompt of its parent; an upstream that has the common
  * part in its cache processes only the rest.
  *
@@ -21,7 +21,7 @@
  * as common instructions. Such a part does not influence the choice.
  */
 const MIN_SHARED_HOLDERS = 3;
-/** Capacity in parts: some minutes of turns at a busy gateway. */
+/** Capacity in parts: enough for several minutes of turns at a busy gateway. */
 const MAX_PARTS = 8_192;
 
 /**
--- a/packages/gateway/src/upstreams/prompt_memory_test.ts
+++ b/packages/gateway/src/upstreams/prompt_memory_test.ts
@@ -5,7 +5,7 @@
   return ids.map((id) => ({ id, tokens: 100 }));
 }
 
-test("a next turn and a helper prefer the upstream that has their prompt", (t) => {
+test("the next turn and a child program prefer the upstream that has their prompt", (t) => {
   const memory = new PromptMemory();
   memory.record(createParts("shared", "a1"), "u-1");
   memory.record(createParts("shared", "b1"), "u-2");
--- a/packages/gateway/src/upstreams/upstream_connection_test.ts
+++ b/packages/gateway/src/upstreams/upstream_connection_test.ts
@@ -114,14 +114,14 @@
   const cut = "HTTP/1.1 200 OK\r\nx-id: 1\r\nContent-Length: 9\r\n\r\nfour";
   const chunked =
     "HTTP/1.1 200 OK\r\nx-id: 1\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const heads = [
+  const texts = [
     cut,
     `${chunked}4\r\nfour\r\n`,
     `${chunked}4\r\nfour\r\nzz\r\n\r\n`,
     "HTTP/1.1 200 OK\r\nx-id: 1\r\nContent-Length: x\r\n\r\nfour",
     "no answer at all\r\n\r\n",
   ];
-  for (const text of heads) {
+  for (const text of texts) {
     const server = await serveRaw([(socket) => socket.end(text)]);
     const connection = await open(server.address);
     const ended = await sendRequest(connection, "1");
--- a/packages/gateway/src/workspaces/key_admission.ts
+++ b/packages/gateway/src/workspaces/key_admission.ts
@@ -52,7 +52,7 @@
   readonly isNewest: (now: number) => boolean;
   /** Time since a quorum confirmed that the document in force is the newest, ms. */
   readonly findConfirmationAgeMilliseconds: (now: number) => number;
-  /** Resolves when there is news of the document, or after the limit, ms. */
+  /** Resolves when the document or its confirmation may have changed, or after the limit, ms. */
   readonly waitForUpdate: (limitMilliseconds: number) => Promise<void>;
   /** Timeout for a document or its confirmation, ms. */
   readonly waitMilliseconds: number;
--- a/packages/transport/src/peer_link.ts
+++ b/packages/transport/src/peer_link.ts
@@ -40,7 +40,7 @@
   readonly name: string;
   readonly sharedKey: string;
   readonly maxFrameBytes: number;
-  /** Limit of one attempt to connect, and of a call's wait for a connection, ms. */
+  /** Timeout of one attempt to connect, and of a call's wait for a connection, ms. */
   readonly connectMilliseconds: number;
   readonly metrics?: Metrics;
 }
--- a/packages/transport/src/peer_server.ts
+++ b/packages/transport/src/peer_server.ts
@@ -28,7 +28,7 @@
   readonly listen: string;
   readonly sharedKey: string;
   readonly maxFrameBytes: number;
-  /** Limit of the handshake of one connection, ms. */
+  /** Timeout of the handshake of one connection, ms. */
   readonly handshakeMilliseconds: number;
   readonly handlers: HandlerTable;
   readonly logger: Logger;
