--- a/packages/consensus/src/group/admission_control.ts
+++ b/packages/consensus/src/group/admission_control.ts
@@ -12,7 +12,7 @@
 
 /** Classes of commands in admission control. */
 export const URGENCIES = {
-  /** Completes work, or is an order: never rejected for load. */
+  /** Completes work, or is an operator's command: never rejected for load. */
   FINISH: "finish",
   /** Continues work that has begun. */
   CONTINUE: "continue",
@@ -28,8 +28,8 @@
  * command share its result and wait 2 s or more for it. Commands that continue
  * work may take most of that time, and commands that start work half of it, so
  * that new work is rejected first. A rejection costs a caller more than a wait:
- * with 380 and 240 ms a simulated site of 27 gateways rejected 4,408 attempts
- * in a day, against 52 without a bound.
+ * with limits of 380 and 240 ms, a simulated site of 27 gateways rejected 4,408
+ * attempts in a day, against 52 without a limit.
  */
 const MAX_WAIT_MILLISECONDS: Readonly<Record<Urgency, number>> = {
   finish: Infinity,
@@ -62,7 +62,7 @@
  * Time beyond it counts in the rate window again.
  */
 const STALL_MILLISECONDS = 500;
-/** Lowest commit rate to estimate with, bytes a second, for a quorum that stalls. */
+/** Lower bound of the estimated commit rate, bytes a second, for a quorum that stalls. */
 const MIN_COMMIT_RATE = 100_000;
 /** Bounds of the retry delay for a rejected caller, ms. */
 const RETRY_AFTER_MILLISECONDS = { min: 200, max: 2_000 };
--- a/packages/consensus/src/group/admission_control_test.ts
+++ b/packages/consensus/src/group/admission_control_test.ts
@@ -179,9 +179,9 @@
 });
 
 /*
- * New programs were rejected while a turn with an input of 900 kB was stored, on
- * a site with 20 small turns a second. At the low commit rate of a lightly loaded
- * leader, one large entry looked like many seconds of work.
+ * Guards against rejected programs while a turn with an input of 900 kB is being
+ * stored, on a site with 20 small turns a second. At the low commit rate of a
+ * lightly loaded leader, one large entry looked like many seconds of work.
  */
 test("one large entry in flight causes no rejections, several do", (t) => {
   const admission = new AdmissionController();
@@ -199,10 +199,10 @@
 });
 
 /*
- * A site whose leader could carry the load rejected 4,618 attempts in a day and
- * scored a fifth lower than without a bound. The bound had been derived from the
- * callers' retry interval of 400 ms, but callers wait 2 s or more for a shared
- * command; with the bound at that timeout the same day had 162 rejections.
+ * Guards against rejections by a leader that can carry the load: with a limit
+ * derived from the callers' retry interval of 400 ms, a site rejected 4,618
+ * attempts in a day and scored a fifth lower than without a limit. Callers wait
+ * 2 s or more for a shared command; with that as the limit there were 162.
  */
 test("a leader near its capacity rejects nothing because of short stalls", (t) => {
   const leader = new SimulatedLeader();
@@ -262,8 +262,8 @@
       for (let step = 0; step < end; step++) {
         propose(step);
         const isSlow = step >= begin;
-        const most = isSlow ? (step % batch === 0 ? 2 * batch : 0) : 12;
-        leader.commit(most, (step + 1) * 10);
+        const maxCommits = isSlow ? (step % batch === 0 ? 2 * batch : 0) : 12;
+        leader.commit(maxCommits, (step + 1) * 10);
       }
       t.ok(
         leader.decided.late < leader.decided.all / 20,
--- a/packages/consensus/src/group/choose_warm_spares_test.ts
+++ b/packages/consensus/src/group/choose_warm_spares_test.ts
@@ -104,12 +104,13 @@
       const voters = VOTERS.slice(0, voterCount);
       const warm = chooseWarmSpares(views, { ...LIMITS, voterCount, voters });
       const missing = voterCount - voters.length;
-      const most = missing + Math.max(1, Math.floor((voterCount - 1) / 2));
+      const wantedCount = missing +
+        Math.max(1, Math.floor((voterCount - 1) / 2));
       const usable = views.filter((spare) =>
         spare.silentMilliseconds <=
           (spare.isWarm ? LIMITS.lostMilliseconds : LIMITS.freshMilliseconds)
       );
-      return warm.size === Math.min(most, usable.length) &&
+      return warm.size === Math.min(wantedCount, usable.length) &&
         [...warm].every((member) =>
           usable.some((spare) => spare.member === member)
         );
--- a/packages/consensus/src/group/elections.ts
+++ b/packages/consensus/src/group/elections.ts
@@ -52,7 +52,7 @@
 }
 
 /**
- * Background task that watches the election timeout and stands for election.
+ * Background task that starts an election when the election timeout expires.
  */
 export class Elections {
   readonly #parts: ElectionParts;
--- a/packages/consensus/src/group/hand_over_leadership.ts
+++ b/packages/consensus/src/group/hand_over_leadership.ts
@@ -33,7 +33,7 @@
   while (!leadership.isOver && performance.now() < deadline) {
     const successor = findSuccessor(leadership, parts);
     if (successor !== undefined) {
-      await callSuccessor(successor, leadership.term, parts);
+      await requestHandover(successor, leadership.term, parts);
     }
     await sleep(options.timing.heartbeatMilliseconds / 2);
   }
@@ -51,7 +51,7 @@
   return undefined;
 }
 
-async function callSuccessor(
+async function requestHandover(
   successor: Member,
   term: number,
   parts: HandOverParts,
--- a/packages/consensus/src/group/leadership.ts
+++ b/packages/consensus/src/group/leadership.ts
@@ -218,9 +218,9 @@
     const { membership, options } = this.#context;
     let count = 0;
     for (const voter of membership.voters) {
-      const own = isSameReplica(voter, options.identity);
+      const isSelf = isSameReplica(voter, options.identity);
       const ackedSentAt = this.findPeer(voter)?.lastAckedSentAt ?? -Infinity;
-      if (own || ackedSentAt >= since) count++;
+      if (isSelf || ackedSentAt >= since) count++;
     }
     return count;
   }
--- a/packages/consensus/src/group/membership.ts
+++ b/packages/consensus/src/group/membership.ts
@@ -58,8 +58,7 @@
   }
 
   /**
-   * Forgets the membership entries from an index on; the log was truncated
-   * there.
+   * Drops the membership entries from an index on, where the log was truncated.
    */
   truncateFrom(index: number): void {
     const kept = this.#history.filter((version) => version.index < index);
--- a/packages/consensus/src/group/peer_replication.ts
+++ b/packages/consensus/src/group/peer_replication.ts
@@ -76,13 +76,13 @@
 /** Replication task of one member. */
 export class PeerReplication {
   readonly #peer: PeerProgress;
-  readonly #caller: PeerClient;
+  readonly #client: PeerClient;
   readonly #context: ReplicationContext;
 
   constructor(peer: PeerProgress, context: ReplicationContext) {
     this.#peer = peer;
     this.#context = context;
-    this.#caller = context.options.findPeer(peer.member);
+    this.#client = context.options.findPeer(peer.member);
   }
 
   /** Replicates until the leadership ends or the member is removed. */
@@ -233,7 +233,7 @@
       // reports itself healthy without having caught up.
       ...(isCold(peer) && !leadership.isShortOfVoters ? { isCold: true } : {}),
     };
-    return await this.#caller.call("consensus.append", request, {
+    return await this.#client.call("consensus.append", request, {
       timeoutMilliseconds: timeouts * options.timing.electionMilliseconds,
     });
   }
@@ -274,10 +274,12 @@
    */
   async #sendSnapshot(): Promise<void> {
     const peer = this.#peer;
-    const turn = this.#context.snapshotQueue.run(() => this.#sendSnapshotNow());
+    const sending = this.#context.snapshotQueue.run(() =>
+      this.#sendSnapshotNow()
+    );
     // The member must receive heartbeats also while it waits in the queue.
     peer.isBusy = true;
-    await turn;
+    await sending;
     peer.isBusy = false;
   }
 
@@ -290,7 +292,7 @@
     const startedAt = performance.now();
     peer.lastSentAt = startedAt;
     const reply = await sendSnapshot(snapshot, {
-      caller: this.#caller,
+      caller: this.#client,
       term: leadership.term,
       from: options.identity,
       toIncarnation: peer.member.incarnation,
@@ -314,7 +316,7 @@
   }
 
   #reportSnapshotSent(
-    { metadata: point, size }: StoredSnapshot,
+    { metadata, size }: StoredSnapshot,
     milliseconds: number,
   ): void {
     const { options } = this.#context;
@@ -322,7 +324,7 @@
     options.logger.info("Snapshot sent", {
       group: options.group,
       to: this.#peer.member.replicaId,
-      lastIndex: point.lastIndex,
+      lastIndex: metadata.lastIndex,
       bytes: size,
       milliseconds: Math.round(milliseconds),
     });
--- a/packages/consensus/src/group/send_snapshot.ts
+++ b/packages/consensus/src/group/send_snapshot.ts
@@ -45,8 +45,8 @@
     const last = offset + chunk.length >= snapshot.size;
     inFlight.push(sendChunk(chunk, { snapshot, target, offset, last }));
     offset += chunk.length;
-    const most = last ? 0 : CHUNKS_IN_FLIGHT - 1;
-    while (inFlight.length > most) {
+    const maxInFlight = last ? 0 : CHUNKS_IN_FLIGHT - 1;
+    while (inFlight.length > maxInFlight) {
       const reply = await inFlight.shift() as Outcome<SnapshotReply>;
       if (reply.err) return reply;
       if (reply.val.term > target.term) return reply;
--- a/packages/consensus/src/group/send_snapshot_test.ts
+++ b/packages/consensus/src/group/send_snapshot_test.ts
@@ -32,7 +32,7 @@
   const sent: SentChunk[] = [];
   const snapshot = {
     size,
-    point: { group: 0, lastIndex: 9, lastTerm: 2, members: [] },
+    metadata: { group: 0, lastIndex: 9, lastTerm: 2, members: [] },
     read: (offset: number, length: number) =>
       Promise.resolve(new Uint8Array(Math.min(length, size - offset))),
   };
--- a/packages/consensus/src/group/spare_batching_test.ts
+++ b/packages/consensus/src/group/spare_batching_test.ts
@@ -16,10 +16,10 @@
     let sent = 0;
     let behind = 0;
     let messages = 0;
-    let most = 0;
+    let maxBehind = 0;
     for (let now = 0; now < 10_000; now++) {
       if (now % (1_000 / rate) === 0) behind++;
-      most = Math.max(most, behind);
+      maxBehind = Math.max(maxBehind, behind);
       if (findSpareBatchDelay({ behind, sentAt, now }) > 0) continue;
       messages++;
       sent += behind;
@@ -28,7 +28,7 @@
     }
     t.ok(sent + behind === rate * 10);
     t.ok(
-      most <= SPARE_BATCH_ENTRIES,
+      maxBehind <= SPARE_BATCH_ENTRIES,
       "the spare always counts as caught up",
     );
     const allowed = 10_000 / SPARE_BATCH_DELAY_MILLISECONDS +
--- a/packages/consensus/src/replica_groups_test.ts
+++ b/packages/consensus/src/replica_groups_test.ts
@@ -220,17 +220,21 @@
   const group = cluster.getGroup(leader);
   const members = group?.membership.members ?? [];
   const removed = members.find((member) => member.replicaId !== leader);
-  const back = removed?.replicaId ?? "";
+  const rejoiningId = removed?.replicaId ?? "";
   const others = members.filter((member) => member !== removed);
   // Isolated, so that it can't send join requests of its own.
-  cluster.isolate(back);
+  cluster.isolate(rejoiningId);
   await cluster.waitForMembershipChange(leader);
   t.ok((await group?.changeMembers(others))?.ok);
-  await cluster.commit("without it", back);
+  await cluster.commit("without it", rejoiningId);
   cluster.heal();
-  const isBack = () => cluster.readCommands(back).includes("without it");
-  await cluster.waitFor("the rejoined member has the missing entries", isBack);
-  t.equal(await cluster.waitForLeader(), leader, "the same leadership");
+  const hasCaughtUp = () =>
+    cluster.readCommands(rejoiningId).includes("without it");
+  await cluster.waitFor(
+    "the rejoined member has the missing entries",
+    hasCaughtUp,
+  );
+  t.equal(await cluster.waitForLeader(), leader, "the leader has not changed");
 });
 
 // Guards against a deposed leader whose replies are taken as the latest state.
@@ -244,10 +248,10 @@
     (group?.findConfirmedAt(performance.now()) ?? -Infinity) > since;
   await cluster.waitFor("a confirmation", isConfirmedAfter(performance.now()));
   cluster.isolate(leader);
-  const cutAt = performance.now();
+  const isolatedAt = performance.now();
   await cluster.commit("after", leader);
   t.notOk(
-    isConfirmedAfter(cutAt)(),
+    isConfirmedAfter(isolatedAt)(),
     "a new leader has committed in the meantime",
   );
 });
--- a/packages/consensus/src/slow_members_test.ts
+++ b/packages/consensus/src/slow_members_test.ts
@@ -17,12 +17,12 @@
   const count = () => others.map((id) => cluster.countBytes(leader, id));
   const before = count();
   cluster.limitOutgoingBandwidth(leader, 400_000);
-  const filling = "x".repeat(20_000);
+  const padding = "x".repeat(20_000);
   const applied = await Promise.all(
     Array.from(
       { length: 40 },
       (_, number) =>
-        cluster.propose(leader, { name: `${number}${filling}`, attempt: 1 }),
+        cluster.propose(leader, { name: `${number}${padding}`, attempt: 1 }),
     ),
   );
   t.ok(applied.every((outcome) => outcome?.ok));
@@ -32,7 +32,7 @@
   t.equal(cluster.getGroup(leader)?.term, term, "no other leader was elected");
   for (const [index, bytes] of count().entries()) {
     const sent = bytes - (before[index] ?? 0);
-    t.ok(sent < 1.2 * 40 * filling.length, "entries were sent once");
+    t.ok(sent < 1.2 * 40 * padding.length, "entries were sent once");
   }
 });
 
@@ -46,14 +46,17 @@
   const isFollowing = () => cluster.readCommands("s1").length === 1;
   await cluster.waitFor("the spare follows", isFollowing);
   cluster.limitOutgoingBandwidth(leader, 400_000);
-  const filling = "x".repeat(1_000);
-  const names = Array.from({ length: 1_000 }, (_, number) => number + filling);
+  const padding = "x".repeat(1_000);
+  const names = Array.from({ length: 1_000 }, (_, number) => number + padding);
   const applying = Promise.all(
     names.map((name) => cluster.propose(leader, { name, attempt: 1 })),
   );
   const isHalfDone = () => cluster.readCommands(leader).length > 500;
   await cluster.waitFor("a quorum has half", isHalfDone);
-  t.ok(cluster.readCommands("s1").length < 250, "the spare waits");
+  t.ok(
+    cluster.readCommands("s1").length < 250,
+    "the spare has received few entries by then",
+  );
   t.ok((await applying).every((outcome) => outcome?.ok));
   const isDone = () =>
     ids.every((id) => cluster.readCommands(id).length === 1_001);
@@ -95,10 +98,10 @@
   const restores = cluster.countRestores("s1");
   // The connection carries some 300 entries a second, and 500 are proposed.
   cluster.limitBandwidth(leader, "s1", 300_000);
-  const filling = "x".repeat(900);
+  const padding = "x".repeat(900);
   const proposing: Promise<unknown>[] = [];
   for (let number = 0; number < 1_100; number++) {
-    const name = number + filling;
+    const name = number + padding;
     proposing.push(cluster.propose(leader, { name, attempt: 1 }));
     if (number % 10 === 0) await sleep(20);
   }
--- a/packages/consensus/src/storage/data_folder_test.ts
+++ b/packages/consensus/src/storage/data_folder_test.ts
@@ -150,7 +150,9 @@
   const path = t.testdir();
   const folder = await open(path);
   await folder.log.close();
-  const late = appendEntries(folder, [createEntry(1, 1)]).then(() => "counted");
+  const late = appendEntries(folder, [createEntry(1, 1)]).then(() =>
+    "completed"
+  );
   const failed = folder.log.failed.then(() => "failed");
   const waited = new Promise((resolve) => setTimeout(resolve, 20, "nothing"));
   t.equal(await Promise.race([late, failed, waited]), "nothing");
--- a/packages/membership/src/directory_difference_test.ts
+++ b/packages/membership/src/directory_difference_test.ts
@@ -50,7 +50,7 @@
   return encodeFrame({ type: "call", id: 1, name: "directory", body }).length;
 }
 
-/** Lets each daemon compare with the first one and a drawn one; returns the bytes sent. */
+/** Each daemon compares with the first one and one chosen by `draw`; returns the bytes sent. */
 function runRound(
   site: readonly Directory[],
   draw: (number: number) => number,
@@ -126,15 +126,15 @@
       for (let now = 0; now <= 4_000; now += 500) {
         runRound(site, (number) => number + 1, now);
       }
-      const left = site.slice(0, 11);
+      const remaining = site.slice(0, 11);
       let round = 0;
       for (let now = 4_500; now <= 20_500; now += 500) {
         const draw = (number: number) => drawn[(number + round) % 60] ?? 0;
-        runRound(left, draw, now);
-        for (const directory of left) directory.removeExpired(now);
+        runRound(remaining, draw, now);
+        for (const directory of remaining) directory.removeExpired(now);
         round++;
       }
-      return left.every((directory) => countKnown(directory) === 11);
+      return remaining.every((directory) => countKnown(directory) === 11);
     }),
     { seed: SEED, numRuns: 30 },
   );
--- a/packages/membership/src/directory_task.ts
+++ b/packages/membership/src/directory_task.ts
@@ -79,7 +79,7 @@
     return Promise.resolve();
   }
 
-  /** Claims the founding at all seeds; true if a majority of them grants it. */
+  /** Requests the right to found the site from all seeds; true if a majority grants it. */
   async claimFounding(): Promise<boolean> {
     const seeds = this.#options.listSeeds();
     const answers = await this.#sendClaims(seeds, false);
@@ -167,8 +167,8 @@
       { timeoutMilliseconds: REQUEST_TIMEOUT_MILLISECONDS },
     );
     if (answer.err) {
-      const isOlder = answer.val.code === RESULT_CODES.UNKNOWN_METHOD;
-      return isOlder ? await this.#exchange(address) : undefined;
+      const isOlderRelease = answer.val.code === RESULT_CODES.UNKNOWN_METHOD;
+      return isOlderRelease ? await this.#exchange(address) : undefined;
     }
     const now = performance.now();
     directory.merge(answer.val.records, now);
--- a/packages/sessions/src/budgets.ts
+++ b/packages/sessions/src/budgets.ts
@@ -1,4 +1,4 @@
-/** Token budgets of programs, which are not created but begin with their first turn. */
+/** Token budgets of programs; the first turn of a program creates its budget. */
 
 import type { TurnReservation } from "@mallowlift/core";
 
--- a/packages/sessions/src/check_document.ts
+++ b/packages/sessions/src/check_document.ts
@@ -18,7 +18,7 @@
  * @example
  * ```ts
  * const checked = checkDocument(document);
- * if (checked.err) return answerInvalid(checked.val.message);
+ * if (checked.err) throw new Error(checked.val.message);
  * ```
  */
 export function checkDocument(
--- a/packages/sessions/src/site_snapshot_test.ts
+++ b/packages/sessions/src/site_snapshot_test.ts
@@ -8,7 +8,7 @@
 } from "./site_snapshot.ts";
 
 /** Far above the size of a batch, far below the size of 5,000 turns. */
-const MOST_PART_BYTES = 65_536;
+const MAX_PART_BYTES = 65_536;
 
 const SITE: StoredSite = {
   document: undefined,
@@ -62,7 +62,7 @@
   const site = { ...SITE, turns, budgets };
   const parts = [...encodeSiteSnapshot(site)];
   const largest = Math.max(...parts.map((part) => part.length));
-  t.ok(largest <= MOST_PART_BYTES, `the largest has ${largest} bytes`);
+  t.ok(largest <= MAX_PART_BYTES, `the largest has ${largest} bytes`);
   t.same(decodeSiteSnapshot(Buffer.concat(parts)), site);
   t.end();
 });
--- a/packages/sessions/src/site_state.ts
+++ b/packages/sessions/src/site_state.ts
@@ -1,4 +1,4 @@
-/** The replicated state of a site: routing document, turns, budgets, retirements. */
+/** The replicated state of a site: routing document, turns, budgets, quotas, retirements. */
 
 import type { PackedDocument, PutDocumentPart } from "@mallowlift/core";
 import { Budgets } from "./budgets.ts";
--- a/packages/sessions/src/site_state_test.ts
+++ b/packages/sessions/src/site_state_test.ts
@@ -59,7 +59,10 @@
   return String(await unpackSource(source));
 }
 
-function begin(turnId: string, more: Partial<BeginCommand> = {}): BeginCommand {
+function begin(
+  turnId: string,
+  overrides: Partial<BeginCommand> = {},
+): BeginCommand {
   return {
     kind: "begin",
     at: 0,
@@ -68,11 +71,11 @@
     previousId: "",
     tokenBudget: 100,
     mostTokens: 40,
-    ...more,
+    ...overrides,
   };
 }
 
-function end(turnId: string, more: Partial<EndCommand> = {}): EndCommand {
+function end(turnId: string, overrides: Partial<EndCommand> = {}): EndCommand {
   return {
     kind: "end",
     at: 0,
@@ -85,7 +88,7 @@
     output: Buffer.from(`out-${turnId}`),
     upstream: "u",
     retentionMilliseconds: 60_000,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -168,7 +171,9 @@
 
 test("recently replaced versions can still be read", async (t) => {
   const state = new SiteState();
-  const packed = await Promise.all([1, 2, 3, 4, 5].map((v) => pack(v, `${v}`)));
+  const packed = await Promise.all(
+    [1, 2, 3, 4, 5].map((version) => pack(version, `${version}`)),
+  );
   for (const each of packed) putParts(state, each);
   const find = (version: number) => state.findDocument(version)?.version;
   t.same([1, 2, 5].map(find), [5, 2, 5]);
@@ -226,17 +231,17 @@
   state.apply(end("c", { previousId: "a", at: 50_000 }));
   state.apply(end("broken", { whole: false }));
   const unlimited = { tokenBudget: -1 };
-  const go = (previousId: string, at = 0) =>
+  const beginAfter = (previousId: string, at = 0) =>
     state.apply(
       begin(`n-${previousId}-${at}`, { ...unlimited, previousId, at }),
     )
       .code;
-  t.equal(go("b"), "OK");
-  t.equal(go("broken"), "TURN_NOT_FOUND");
-  t.equal(go("nowhere"), "TURN_NOT_FOUND");
+  t.equal(beginAfter("b"), "OK");
+  t.equal(beginAfter("broken"), "TURN_NOT_FOUND");
+  t.equal(beginAfter("nowhere"), "TURN_NOT_FOUND");
   t.same(state.turns.listChain("c").map((turn) => turn.turnId), ["c", "a"]);
-  t.equal(go("b", 80_000), "TURN_NOT_FOUND", "its retention has ended");
-  t.equal(go("c", 100_000), "OK");
+  t.equal(beginAfter("b", 80_000), "TURN_NOT_FOUND", "its retention has ended");
+  t.equal(beginAfter("c", 100_000), "OK");
   t.same(state.turns.listChain("c").map((turn) => turn.turnId), ["c", "a"]);
   t.end();
 });
@@ -268,20 +273,20 @@
   keep("a", "", 0);
   keep("b", "a", 0);
   const parts = state.takeSnapshot()[Symbol.iterator]();
-  const made = [parts.next().value as Uint8Array];
+  const encodedParts = [parts.next().value as Uint8Array];
   keep("c", "b", 50_000);
   for (let next = parts.next(); !next.done; next = parts.next()) {
-    made.push(next.value);
+    encodedParts.push(next.value);
   }
   const copy = new SiteState();
-  copy.restore(Buffer.concat(made));
+  copy.restore(Buffer.concat(encodedParts));
   t.notOk(copy.turns.has("c"), "a later turn is not included");
-  const expires = (of: SiteState) =>
+  const listExpiryTimes = (of: SiteState) =>
     of.turns.store().map(({ turnId, expiresAt }) => [turnId, expiresAt]);
   copy.apply({ ...end("c"), previousId: "b", at: 50_000 });
   t.same(
-    expires(copy),
-    expires(state),
+    listExpiryTimes(copy),
+    listExpiryTimes(state),
     "applying the later command again yields the same state",
   );
   t.end();
@@ -346,25 +351,25 @@
 // Guards against a retried turn that is charged twice, and one that runs uncharged.
 test("a turn is charged once, and is refused beyond the quota", (t) => {
   const state = new SiteState();
-  const ask = (turnId: string, at: number) =>
+  const beginTurn = (turnId: string, at: number) =>
     state.apply(begin(turnId, { quota: QUOTA, at, mostTokens: 1 }));
-  t.same(ask("a", 0), { code: "OK", isCharged: true });
+  t.same(beginTurn("a", 0), { code: "OK", isCharged: true });
   t.same(
-    ask("a", 10),
+    beginTurn("a", 10),
     { code: "OK" },
     "the turn was charged when it was first begun",
   );
-  t.ok(ask("b", 20).isCharged);
-  const refused = ask("c", 30);
+  t.ok(beginTurn("b", 20).isCharged);
+  const refused = beginTurn("c", 30);
   t.equal(refused.code, "QUOTA_EXCEEDED");
   const wait = refused.retryAfterMilliseconds ?? 0;
   t.notOk(
     state.budgets.hasReserved("p", "c"),
     "a refused turn has no reservation",
   );
-  t.ok(ask("c", 30 + wait).isCharged);
-  t.ok(ask("d", 40 + wait).isCharged);
-  t.equal(ask("e", 50 + wait).code, "QUOTA_EXCEEDED");
+  t.ok(beginTurn("c", 30 + wait).isCharged);
+  t.ok(beginTurn("d", 40 + wait).isCharged);
+  t.equal(beginTurn("e", 50 + wait).code, "QUOTA_EXCEEDED");
   t.end();
 });
 
--- a/packages/store/src/fair_shares_test.ts
+++ b/packages/store/src/fair_shares_test.ts
@@ -65,11 +65,14 @@
       (workspace, pressure, now) =>
         shares.tryAdmit({ workspace, weight: 1 }, pressure, now),
     );
-    const without = simulateLeader(seed, () => true);
-    const least = (parts: ReadonlyMap<string, number>) =>
-      Math.min(...REGULAR_WORKSPACES.map((name) => parts.get(name) ?? 0));
-    t.ok(least(fair) > 0.9, `seed ${seed}: ${least(fair)}`);
-    t.ok(least(without) < 0.5, `seed ${seed} without: ${least(without)}`);
+    const withoutShares = simulateLeader(seed, () => true);
+    const findLowest = (fractions: ReadonlyMap<string, number>) =>
+      Math.min(...REGULAR_WORKSPACES.map((name) => fractions.get(name) ?? 0));
+    t.ok(findLowest(fair) > 0.9, `seed ${seed}: ${findLowest(fair)}`);
+    t.ok(
+      findLowest(withoutShares) < 0.5,
+      `seed ${seed} without shares: ${findLowest(withoutShares)}`,
+    );
     t.ok(
       (fair.get("flooding") ?? 0) > 0,
       "the flooding workspace gets the remaining capacity",
@@ -80,16 +83,16 @@
 
 test("a single workspace is admitted, and a larger weight admits more", (t) => {
   const alone = new FairShares();
-  const ask = (shares: FairShares, workspace: string, weight: number) =>
+  const tryAdmit = (shares: FairShares, workspace: string, weight: number) =>
     shares.tryAdmit({ workspace, weight }, 0.9, 0);
-  t.ok(ask(alone, "only", 1));
-  t.ok(ask(alone, "only", 1));
+  t.ok(tryAdmit(alone, "only", 1));
+  t.ok(tryAdmit(alone, "only", 1));
   const shares = new FairShares();
   let large = 0;
   let small = 0;
   for (let round = 0; round < 100; round++) {
-    if (ask(shares, "large", 9)) large++;
-    if (ask(shares, "small", 1)) small++;
+    if (tryAdmit(shares, "large", 9)) large++;
+    if (tryAdmit(shares, "small", 1)) small++;
   }
   t.ok(large > 4 * small, `${large} and ${small}`);
   t.end();
--- a/packages/store/src/follow_test.ts
+++ b/packages/store/src/follow_test.ts
@@ -32,7 +32,7 @@
 
 test("a leader sends its list only to gateways that hold an older one", async (t) => {
   const owner = await startLeader();
-  const ask = async (listAgeMilliseconds?: number) => {
+  const follow = async (listAgeMilliseconds?: number) => {
     const reply = await owner.followers.follow({
       daemon: "g",
       documentVersion: -1,
@@ -42,17 +42,21 @@
     }, new AbortController().signal);
     return reply.unwrap();
   };
-  t.equal(countChanged(await ask(60_000)), 1);
-  t.equal(countChanged(await ask(Infinity)), 1);
-  t.equal(countChanged(await ask()), 1, "an earlier release");
-  t.equal(countChanged(await ask(0)), 0);
+  t.equal(countChanged(await follow(60_000)), 1);
+  t.equal(countChanged(await follow(Infinity)), 1);
+  t.equal(
+    countChanged(await follow()),
+    1,
+    "a gateway of an earlier release sends no age",
+  );
+  t.equal(countChanged(await follow(0)), 0);
   owner.onFollowing();
 });
 
 // Guards against send buffers that hold the full list for every gateway at once.
 test("the full list is sent to a bounded number of gateways at once", async (t) => {
   const owner = await startLeader();
-  const ask = (daemon: string, listRevision: string) =>
+  const follow = (daemon: string, listRevision: string) =>
     owner.followers.follow({
       daemon,
       documentVersion: -1,
@@ -64,7 +68,7 @@
   for (let round = 0; held.size < GATEWAYS && round < GATEWAYS; round++) {
     let fullLists = 0;
     for (const name of names) {
-      const reply = (await ask(name, held.get(name) ?? "")).unwrap();
+      const reply = (await follow(name, held.get(name) ?? "")).unwrap();
       fullLists += countChanged(reply);
       if (reply.update !== undefined) held.set(name, reply.listRevision ?? "");
     }
--- a/packages/store/src/latest_upstreams.ts
+++ b/packages/store/src/latest_upstreams.ts
@@ -3,9 +3,10 @@
  * hint: it is neither replicated nor persisted, and a new leader starts empty.
  *
  * The hint lets a gateway that has not seen a program before send its turn to
- * the upstream that has the prompt cached. At a site of 7 gateways and 8 engines
- * under 8 s of twice the usual load (20 s in all), it lowers the number of short
- * programs that end late from 33 of about 630 to 4, and from 7 of about 680 to 0.
+ * the upstream that has the prompt cached. On a simulated site of 7 gateways and
+ * 8 engines, with twice the usual load for 8 s of 20 s, it lowered the number of
+ * short programs that ended late from 33 of about 630 to 4 in one run, and from
+ * 7 of about 680 to 0 in another.
  */
 
 /** Maximum number of programs: the new programs of some minutes at a busy site. */
--- a/packages/store/src/proposal_report.ts
+++ b/packages/store/src/proposal_report.ts
@@ -5,7 +5,7 @@
 /** Minimum time between two log lines, ms. */
 const LOG_INTERVAL_MILLISECONDS = 1_000;
 
-/** A command that was decided or lost. */
+/** A command that was committed or has failed. */
 export interface FinishedCommand {
   readonly kind: string;
   /** Time from the proposal to the decision, ms. */
@@ -32,7 +32,7 @@
     this.#metrics = parts.metrics;
   }
 
-  /** Counts one command that was decided or lost. */
+  /** Counts one finished command. */
   record(command: FinishedCommand, now: number): void {
     const { kind, requestCount, isAbandoned } = command;
     this.#metrics.proposals.inc({ kind });
--- a/packages/store/src/read_instance.ts
+++ b/packages/store/src/read_instance.ts
@@ -31,7 +31,7 @@
 /**
  * Returns the instance of an entry, or the field that is invalid. An instance
  * with a start time gets an id for this incarnation, so that state kept for an
- * earlier incarnation under the same own id no longer applies.
+ * earlier incarnation no longer applies; `ownId` keeps the id of the entry.
  *
  * @example
  * ```ts
--- a/packages/store/src/site_owner.ts
+++ b/packages/store/src/site_owner.ts
@@ -62,7 +62,7 @@
  */
 const REFUSAL_LOG_INTERVAL_MILLISECONDS = 10_000;
 
-/** Result for a caller that has given up; it is not read. */
+/** Result for a caller that has given up and no longer reads it. */
 const CANCELLED = fail(RESULT_CODES.CANCELLED, "The caller has given up");
 /** Result of a command that was applied before. */
 const ALREADY_DONE: SiteResult = { code: "OK" };
@@ -127,7 +127,8 @@
     request: BeginTurn,
     signal: AbortSignal,
   ): Promise<Outcome<BeginTurnReply>> {
-    // The turns that the gateway has do not affect the state: not replicated.
+    // The turns that the gateway already has only affect the reply, so they are
+    // not replicated.
     const { missingFrom, knownTurns, ...reserve } = request;
     const at = this.#getSiteTime();
     const command = { kind: "begin", at, ...reserve } as const;
@@ -207,7 +208,8 @@
     command: SiteCommand,
     signal: AbortSignal,
   ): Promise<Outcome<SiteResult>> {
-    // The cancellation of this request may have arrived in the same packet.
+    // A cancellation of this request that arrived in the same packet is handled
+    // first.
     await Promise.resolve();
     if (signal.aborted) return CANCELLED;
     const group = this.#options.getGroup();
@@ -250,7 +252,7 @@
     const quota = command.kind === "begin" ? command.quota : undefined;
     if (quota === undefined) return Ok(undefined);
     const urgency = findUrgency(command, this.#options.state);
-    const { part, retryAfterMilliseconds: comeBackMilliseconds } = group
+    const { part, retryAfterMilliseconds: retryMilliseconds } = group
       .findProposalLoad(urgency, now);
     const share = { workspace: quota.workspace, weight: quota.most };
     if (this.#fairShares.tryAdmit(share, part, now)) return Ok(undefined);
@@ -258,7 +260,7 @@
     return fail(
       RESULT_CODES.LEADER_BUSY,
       RESULT_CODES.LEADER_BUSY.meaning,
-      comeBackMilliseconds,
+      retryMilliseconds,
     );
   }
 
--- a/packages/store/src/store_replicas.ts
+++ b/packages/store/src/store_replicas.ts
@@ -66,8 +66,8 @@
     return new Set(this.#options.state.retiring.values());
   }
 
-  #listSince(heardSince: number): readonly ReplicaAddress[] {
-    const stores = this.#options.directory.findByRole(ROLES.STORE, heardSince);
+  #listSince(since: number): readonly ReplicaAddress[] {
+    const stores = this.#options.directory.findByRole(ROLES.STORE, since);
     return stores.map(({ name, address }) => ({ replicaId: name, address }));
   }
 }
