--- a/packages/cli/src/commands/gateway_commands.ts
+++ b/packages/cli/src/commands/gateway_commands.ts
@@ -133,7 +133,7 @@
     String(workspace.burst),
   ]);
   return formatTable(
-    ["workspace", "keys", "priority", "per second", "burst"],
+    ["workspace", "keys", "priority", "a second", "burst"],
     rows,
   );
 }
--- a/packages/cli/src/output/describe_status.ts
+++ b/packages/cli/src/output/describe_status.ts
@@ -80,7 +80,7 @@
     follower.revision < status.revision
   );
   if (laggingFollowers.length === 0) {
-    return `All ${status.followers.length} followers have this revision`;
+    return `All ${status.followers.length} followers have it`;
   }
   const names = laggingFollowers.map((follower) =>
     `${follower.daemonId} at ${follower.revision}`
@@ -96,7 +96,7 @@
     report.type === "model" ? report.models.join(",") : report.service,
     `${report.running}/${report.slots}`,
     `${report.queued}/${report.queueLimit}`,
-    report.draining ? "draining" : `reported ${sidecar.lastReportAt} ms ago`,
+    report.draining ? "draining" : `heard ${sidecar.lastReportAt} ms ago`,
   ];
 }
 
