--- a/packages/configuration/src/configuration_follower.ts
+++ b/packages/configuration/src/configuration_follower.ts
@@ -71,8 +71,8 @@
 
   async #follow(): Promise<void> {
     while (!this.#stopped.signal.aborted) {
-      // Freshness counts from when the poll was sent, since a reply cannot
-      // confirm a later time.
+      // Freshness counts from when the poll was sent: the leader confirmed the
+      // view at an unknown time between the poll and its reply.
       const sentAt = performance.now();
       const update = await this.#poll();
       if (update.err) {
--- a/packages/entry/src/callers/program_handlers.ts
+++ b/packages/entry/src/callers/program_handlers.ts
@@ -112,7 +112,7 @@
   });
 }
 
-/** Ends a program and all its children. */
+/** Ends a program and all its descendants. */
 export async function endProgram(
   context: EntryContext,
   request: Request,
--- a/packages/entry/src/operators/site_handlers.ts
+++ b/packages/entry/src/operators/site_handlers.ts
@@ -88,7 +88,7 @@
     for (const change of update.changes) {
       output.write(`data: ${JSON.stringify(change)}\n\n`);
     }
-    // A comment line without data keeps the stream alive.
+    // A comment line shows the watcher that the stream is alive.
     if (update.changes.length === 0) {
       output.write(`: revision ${update.revision}\n\n`);
     }
--- a/packages/replica/src/configuration/configuration_owner.ts
+++ b/packages/replica/src/configuration/configuration_owner.ts
@@ -77,7 +77,8 @@
 
   /**
    * Answers a poll immediately if the revision has changed. Otherwise holds the
-   * poll until a change, for at most the requested time or 10 s.
+   * poll until the next change, for at most the requested time and never longer
+   * than 10 s.
    */
   async poll(
     request: ConfigurationPoll,
--- a/packages/replica/src/programs/program_owner.ts
+++ b/packages/replica/src/programs/program_owner.ts
@@ -352,9 +352,10 @@
 }
 
 /**
- * Returns the urgency of a command for admission control. Under overload, new
- * programs are rejected first. Calls are not rejected: an early attempt may
- * already have been sent, but a rejection guarantees that the call did not run.
+ * Returns the urgency of a command for admission control. When more commands wait
+ * than the group can commit in time, only new programs are rejected. Calls are
+ * not: an early attempt may already have been sent, but a rejection guarantees
+ * that the call did not run.
  */
 function findUrgency(command: ProgramCommand): Urgency {
   const isNew = command.type === "create_program";
--- a/packages/replica/src/replica_role.ts
+++ b/packages/replica/src/replica_role.ts
@@ -115,9 +115,10 @@
   }
 
   /**
-   * Returns true if this replica is a member of every group and each group has
-   * a leader, and if every live sidecar has had time to report. An owner that
-   * does not know the sidecars would reject the calls that it takes over.
+   * Returns true if this replica is healthy in every group, that is, a member in
+   * recent contact with the leader (see {@linkcode ReplicaGroups.isHealthy}), and
+   * if every live sidecar has had time to report. An owner that does not know the
+   * sidecars would reject the calls that it takes over.
    */
   isHealthy(): boolean {
     const now = performance.now();
--- a/packages/replica/src/sidecars/cache_records.ts
+++ b/packages/replica/src/sidecars/cache_records.ts
@@ -1,8 +1,8 @@
 /** Records how much of each program's prompt the engines have cached. */
 
 /**
- * Limit on the records, because late events may name programs that no longer
- * exist.
+ * Maximum number of programs with records; needed because late events may name
+ * programs that no longer exist.
  */
 const MAX_PROGRAMS = 100_000;
 
--- a/packages/scheduling/src/expected_finish.ts
+++ b/packages/scheduling/src/expected_finish.ts
@@ -20,8 +20,8 @@
 /**
  * Chooses the candidate with the lowest estimated time: the wait for a slot
  * plus the processing of the prompt tokens that are not cached there. The time
- * for uncached tokens is multiplied by 1 + cacheWeight, so that a positive
- * weight prefers candidates with a cached prompt.
+ * for uncached tokens is multiplied by 1 + cacheWeight: a weight of 0 counts it
+ * as it is, and a higher weight favors candidates with a cached prompt more.
  */
 export class ExpectedFinish implements PlacementPolicy {
   readonly name = "expected_finish";
--- a/packages/scheduling/src/policies_test.ts
+++ b/packages/scheduling/src/policies_test.ts
@@ -42,7 +42,7 @@
   t.end();
 });
 
-test("expected finish prefers the candidate with a cached prompt, unless it is full", (t) => {
+test("expected finish prefers a cached prompt at equal load, but not behind a long queue", (t) => {
   const base = {
     failureDomain: "",
     ownCalls: 1,
