--- a/packages/gateway/src/calls/classify_answer.ts
+++ b/packages/gateway/src/calls/classify_answer.ts
@@ -24,7 +24,7 @@
  *
  * @example
  * ```ts
- * classifyAnswer(dialect.readAnswer(head), "call-1").belonging; // "own"
+ * classifyAnswer(dialect.readAnswer(head), "call-1").match; // "own"
  * ```
  */
 export function classifyAnswer(
--- a/packages/gateway/src/calls/program_urgency.ts
+++ b/packages/gateway/src/calls/program_urgency.ts
@@ -2,17 +2,19 @@
  * Ranks requests of one route by the time that their programs have left, so
  * that engines with a queue serve programs near their deadline first and those
  * past it last. Served in order of arrival, all programs of a burst become late
- * together.
+ * together. Served by rank, programs near their deadline can still finish in
+ * time, and those past theirs do not delay the others.
  */
 
 /**
  * Ranks of requests within a route; lower ranks are served first.
  *
- * With 7 gateways, 8 engines of 16 slots and 8 s of twice the usual load, ranks
- * raised the share of the programs' value that was finished in time from 92% to
- * 97% while engines processed many prompts again. With prompts routed to the
- * engine that has them cached, ranks made no difference: 100% with and without
- * them, or 92% with and 93% without.
+ * At a simulated site of 7 gateways and 8 engines of 16 slots, in a burst of 8 s
+ * at twice the usual load, ranks raised the share of the programs' value that
+ * was finished in time from 92% to 97% while engines processed many prompts
+ * again. With prompts routed to the engine that has them cached, two such
+ * simulations showed no difference: 100% with and without ranks, and 92% with
+ * and 93% without.
  */
 export const RANKS = {
   /** The program has less time left than the route's median program. */
--- a/packages/gateway/src/calls/run_turn.ts
+++ b/packages/gateway/src/calls/run_turn.ts
@@ -73,8 +73,8 @@
   if (!call.parts.route.keepsHistory) {
     // Without a history the stores need only the number of tokens. The caller
     // does not wait for that, since the reserved tokens stay reserved until
-    // then. With 7 gateways this saved 35% of the bytes sent between failure
-    // domains (74 instead of 114 MB in 50 s).
+    // then. At a simulated site of 7 gateways this saved 35% of all bytes sent
+    // between failure domains (74 instead of 114 MB in 50 s).
     settleTurn(call, parts, { events: relay.count, upstream: result.upstream });
     return call.endAnswer();
   }
@@ -189,9 +189,9 @@
 
 /**
  * Refuses a turn because the leader is overloaded. The leader has reserved
- * nothing, so there is nothing to settle, and the refusal adds no log entry. The
- * retry delay is lengthened by up to its own length at random, so that callers
- * do not all retry at the same moment.
+ * nothing, so there is nothing to settle, and the refusal adds no entry to the
+ * log that the leader replicates. The retry delay is lengthened by up to its own
+ * length at random, so that callers do not all retry at the same moment.
  */
 function refuseOverload(
   call: OpenCall,
--- a/packages/gateway/src/native_dialect.ts
+++ b/packages/gateway/src/native_dialect.ts
@@ -109,7 +109,10 @@
     ];
   }
 
-  /** Reads the call id and the status; every answer counts as genuine. */
+  /**
+   * Reads the call id, the not-run header and the status. `isGenuine` is always
+   * true, because the call id is the only mark of a genuine answer.
+   */
   readAnswer(head: AnswerHead): AnswerFacts {
     return {
       callId: findHeader(head.headers, NATIVE_HEADERS.CALL),
--- a/packages/gateway/src/site/document_confirmations.ts
+++ b/packages/gateway/src/site/document_confirmations.ts
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Time since the version in force was last confirmed to be the newest, ms;
-   * Infinity if it never was.
+   * Time since the version in force, or an older one, was last confirmed to be
+   * the newest, ms; Infinity if none was.
    */
   findAge(versionInForce: number, now: number): number {
     for (const { version, confirmedAt } of this.#pending) {
--- a/packages/gateway/src/site/document_follower.ts
+++ b/packages/gateway/src/site/document_follower.ts
@@ -118,7 +118,8 @@
   }
 
   #putInForce(document: RoutingDocument, read: object = {}): void {
-    // A document from a reply may be newer than the one that was being read.
+    // A whole document from a leader's reply may be newer than the one that was
+    // being read in parts.
     if (document.version <= this.version) return;
     this.#routes = new RouteTable(document);
     this.#changed.wake();
--- a/packages/gateway/src/site/document_follower_test.ts
+++ b/packages/gateway/src/site/document_follower_test.ts
@@ -83,7 +83,7 @@
   t.equal(follower.routes?.document.version, 5);
 });
 
-test("a document from a reply is not replaced by an older one", async (t) => {
+test("a whole document from a leader's reply is not replaced by an older one", async (t) => {
   const unblock = createDeferred<void>();
   const follower = createFollower(async ({ version }) => {
     await unblock.promise;
--- a/packages/gateway/src/site/document_transfer.ts
+++ b/packages/gateway/src/site/document_transfer.ts
@@ -91,8 +91,8 @@
 }
 
 /**
- * Reads one form of a document and retries with new leaders; returns undefined
- * if it is cancelled first.
+ * Reads one form of a document; continues after failed calls and changes of the
+ * leader. Returns undefined if it is cancelled first.
  */
 export async function readDocument(
   client: Pick<SiteClient, "callLeader">,
@@ -111,7 +111,7 @@
     const milliseconds = performance.now() - sentAt;
     const sent = reply.ok ? reply.val.part.length : mostBytes;
     mostBytes = computeMessageBytes(mostBytes, { sent, milliseconds });
-    // A leader that has been replaced may not have the version.
+    // A leader that has been replaced may not have the version yet.
     if (reply.err || reply.val.version < version) {
       await sleep(RETRY_MILLISECONDS);
       continue;
--- a/packages/gateway/src/site/instance_list_follower_test.ts
+++ b/packages/gateway/src/site/instance_list_follower_test.ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * Creates a reply with the update from one revision to the next, which removes
- * the upstream `u-1`.
+ * Creates a reply with the update from one revision to the next, which replaces
+ * the upstream `u-1` with the one of the given id.
  */
 function createUpdateReply(base: string, revision: string, id: string) {
   const changed = [{ ...INSTANCE, id }];
@@ -79,7 +79,7 @@
   t.end();
 });
 
-test("an update is applied only to its base revision", (t) => {
+test("an update is applied to its base revision, and one without a base to any", (t) => {
   const { follower, used } = createFollower(() => Ok(createListReply("1")));
   follower.apply(createListReply("1"), 1_000);
   follower.apply(createUpdateReply("1", "2", "u-2"), 2_000);
--- a/packages/gateway/src/site/site_follower.ts
+++ b/packages/gateway/src/site/site_follower.ts
@@ -15,7 +15,7 @@
 import type { InstanceListFollower } from "./instance_list_follower.ts";
 import type { SiteClient } from "./site_client.ts";
 
-/** Delay after a search that found no leader. */
+/** Delay after a round that ended without a known leader. */
 const RETRY_MILLISECONDS = 30;
 /**
  * Time that a reply may take in addition to the time for which the leader holds
--- a/packages/gateway/src/upstreams/prompt_memory.ts
+++ b/packages/gateway/src/upstreams/prompt_memory.ts
@@ -4,10 +4,10 @@
  * program starts with the prompt of its parent; an upstream that has the common
  * part in its cache processes only the rest.
  *
- * At a site of 7 gateways and 8 engines with 16 slots, in a burst of 8 s at
- * twice the usual load, this reduced the processed prompt tokens from 3.4 to
- * 2.8 million within 20 s, and raised the share of the programs' value that was
- * finished in time from 79% to 92%.
+ * At a simulated site of 7 gateways and 8 engines with 16 slots, in a burst of
+ * 8 s at twice the usual load, this reduced the processed prompt tokens from 3.4
+ * to 2.8 million within 20 s, and raised the share of the programs' value that
+ * was finished in time from 79% to 92%.
  */
 
 /** A part of a prompt; equal ids mean equal tokens. */
--- a/packages/gateway/src/upstreams/upstream_health.ts
+++ b/packages/gateway/src/upstreams/upstream_health.ts
@@ -6,9 +6,9 @@
  * never answers, which would look idle; and one that fails a part of its
  * requests, which would be used again after each success.
  *
- * At a site of 22 gateways and 30 engines, of which four failed every request
- * at once for 7 s, 179 of 13,740 runs failed within 34 s; without this, 4,092
- * of 14,518 failed.
+ * At a simulated site of 22 gateways and 30 engines, of which four failed every
+ * request at once for 7 s, 179 of 13,740 runs failed within 34 s; without this,
+ * 4,092 of 14,518 failed.
  */
 
 /**
@@ -26,8 +26,8 @@
  */
 const MAX_BACKOFF_MILLISECONDS = 4_000;
 /**
- * Half-life of the difference between an upstream's mean and the mean of the
- * others, ms.
+ * Half-life of the difference between an upstream's mean and the fallback of
+ * {@linkcode UpstreamHealth.findMean}, ms.
  */
 const HALF_LIFE_MILLISECONDS = 4_000;
 /**
--- a/packages/gateway/src/upstreams/upstream_health_test.ts
+++ b/packages/gateway/src/upstreams/upstream_health_test.ts
@@ -17,7 +17,7 @@
   t.end();
 });
 
-test("failures during a backoff count once", (t) => {
+test("requests that fail together count as one failure", (t) => {
   const health = new UpstreamHealth();
   for (let request = 0; request < 8; request++) health.recordFailure(request);
   t.equal(health.failures, 1);
--- a/packages/gateway/src/upstreams/upstream_table.ts
+++ b/packages/gateway/src/upstreams/upstream_table.ts
@@ -38,7 +38,10 @@
  * many rarely fail at the same time.
  */
 const MIN_UPSTREAMS_FOR_OUTAGE = 4;
-/** Largest ratio of upstreams that may be in backoff at the same time. */
+/**
+ * Largest ratio of upstreams that backoffs may take out of use; above it,
+ * backoffs are ignored.
+ */
 const MAX_BACKING_OFF_RATIO = 0.5;
 
 /** Options of {@linkcode UpstreamTable.choose}. */
@@ -159,9 +162,9 @@
     const { now } = options;
     const isNear = upstream.instance.failureDomain === this.#failureDomain;
     // No upstream counts as faster than the median: each has few measured
-    // answers, and one with low times has mostly had short requests. At a site
-    // of 22 gateways, this reduced the requests of the busiest of 17 plain
-    // services from 1.66 to 1.35 times the mean.
+    // answers, and one with low times has mostly had short requests. At a
+    // simulated site of 22 gateways, this reduced the requests of the busiest of
+    // 17 plain services from 1.66 to 1.35 times the mean.
     return Math.max(
       medianMean,
       upstream.health.findExpectedTime(now, medianMean),
@@ -208,7 +211,10 @@
   return allowed.filter((upstream) => !tried.has(upstream.instance.id));
 }
 
-/** True if the probation penalty applies: the call must not be retried. */
+/**
+ * True if the probation penalty applies: the upstream is on probation, and the
+ * call must not be retried.
+ */
 function isPenalized(upstream: Upstream, options: ChoiceOptions): boolean {
   return !options.isRepeatable && upstream.health.isOnProbation(options.now);
 }
@@ -240,9 +246,9 @@
  * Estimated load of an upstream for a call with a history or an object. It
  * counts this gateway's own requests once. If many gateways share small
  * engines, scaling them by the number of gateways sends turns away from engines
- * that are no busier than the others. At a site of 22 gateways and 30 engines
- * with 8 slots, in a burst of 8 s, this reduced the processed prompt tokens from
- * 10.4 to 7.4 million within 18 s.
+ * that are no busier than the others. At a simulated site of 22 gateways and 30
+ * engines with 8 slots, in a burst of 8 s, this reduced the processed prompt
+ * tokens from 10.4 to 7.4 million within 18 s.
  */
 function findEstimatedLoad(upstream: Upstream, otherRequests: number): number {
   return (upstream.running + otherRequests) / countSlots(upstream);
--- a/packages/gateway/src/upstreams/upstream_table_test.ts
+++ b/packages/gateway/src/upstreams/upstream_table_test.ts
@@ -38,7 +38,7 @@
   t.end();
 });
 
-test("an instance that is removed from the list is retired, also for callers that hold it", (t) => {
+test("an instance that is removed from the list is retired, also for calls that hold it", (t) => {
   const table = new UpstreamTable(() => 0.5, "d");
   table.update([createInstance("a")]);
   const upstream = table.choose(createOptions());
@@ -48,7 +48,7 @@
   t.end();
 });
 
-test("a turn prefers the upstream of its history unless its load is too high", (t) => {
+test("a loaded upstream is avoided, except by a turn of its history until the load is too high", (t) => {
   const table = new UpstreamTable(() => 0, "d");
   table.update([createInstance("a"), createInstance("b")]);
   const first = table.choose(createOptions());
