--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -115,7 +115,7 @@
     });
   }
 
-  /** Stops the roles in reverse order after their open requests have finished. */
+  /** Stops the roles in reverse order; each first waits for its open requests. */
   async stop(): Promise<void> {
     this.#stopping = true;
     this.logger.info("Stopping");
--- a/packages/mocks/src/engine/cache_events.ts
+++ b/packages/mocks/src/engine/cache_events.ts
@@ -6,7 +6,7 @@
 /** Number of events that are kept; readers that fall behind miss older ones. */
 const MAX_EVENTS = 1_000;
 
-/** One finished generation whose prompt and answer are in the cache. */
+/** One finished generation whose prompt and answer were cached. */
 export interface CacheEvent {
   readonly sequence: number;
   /** Time of the event, ms since the epoch. */
@@ -20,7 +20,7 @@
 export interface CacheEventOptions {
   /** Time from an event until it is published, ms. */
   readonly eventLagMilliseconds: number;
-  /** Every n-th event is left out, for this n; 0 to leave out none. */
+  /** Leaves out one event in this many, with 3 every third; 0 for none. */
   readonly eventGap: number;
 }
 
--- a/packages/mocks/src/engine/fake_engine.ts
+++ b/packages/mocks/src/engine/fake_engine.ts
@@ -1,6 +1,6 @@
 /**
  * A fake model engine with continuous batching, a prefix cache, priorities,
- * resumable streams and operators' orders.
+ * resumable streams and orders, which load or unload models or set its role.
  */
 
 import {
@@ -27,7 +27,10 @@
 export interface FakeEngineOptions {
   /** Models that are loaded at the start. */
   readonly models: readonly string[];
-  /** Duration of one step, ms; a step generates one token per running request. */
+  /**
+   * Duration of one step, ms. In a step, each running generation processes a
+   * part of its prompt or generates one token.
+   */
   readonly stepMilliseconds: number;
   /** Most generations that run at once. */
   readonly maxBatch: number;
@@ -39,7 +42,7 @@
   readonly loadLagMilliseconds: number;
   /** Time from a cache event until it is published, ms. */
   readonly eventLagMilliseconds: number;
-  /** Every n-th cache event is left out, for this n; 0 to leave out none. */
+  /** Leaves out one cache event in this many, with 3 every third; 0 for none. */
   readonly eventGap: number;
   /** Part of the seed of all answers, so that engines can differ in them. */
   readonly salt: string;
--- a/packages/mocks/src/engine/load_samples.ts
+++ b/packages/mocks/src/engine/load_samples.ts
@@ -2,7 +2,7 @@
 
 /**
  * Time beyond the lag for which samples are kept, ms. A few steps long, so that
- * a sample older than the lag is always available.
+ * an engine that keeps stepping still has a sample older than the lag.
  */
 const MARGIN_MILLISECONDS = 100;
 
--- a/packages/mocks/src/engine/prefix_cache.ts
+++ b/packages/mocks/src/engine/prefix_cache.ts
@@ -96,7 +96,7 @@
     this.#evict();
   }
 
-  /** Frees the messages that no other session uses. */
+  /** Frees the messages that only this session uses. */
   release(session: string): void {
     for (const node of [...this.#nodes.values()]) {
       node.sessions.delete(session);
--- a/packages/sidecar/src/attempts/attempt_table.ts
+++ b/packages/sidecar/src/attempts/attempt_table.ts
@@ -86,7 +86,7 @@
     return await admitted.val.done;
   }
 
-  /** Returns a known attempt; undefined if its dispatch has not arrived. */
+  /** Returns a known attempt; undefined before its dispatch arrives and after its eviction. */
   find(key: AttemptKey): Attempt | undefined {
     return this.#attempts.get(formatAttemptKey(key));
   }
--- a/packages/sidecar/src/attempts/attempt_table_test.ts
+++ b/packages/sidecar/src/attempts/attempt_table_test.ts
@@ -153,7 +153,7 @@
   t.same(upstream.startedIds, ["new"]);
 });
 
-test("an earlier boot's dispatch is rejected, and its outcome is unknown", async (t) => {
+test("a dispatch meant for an earlier boot is rejected, and its outcome is unknown", async (t) => {
   const { table, upstream } = createTable({ completesImmediately: true });
   const request = { ...createRequest({}), bootId: "earlier" };
   t.equal(getCodeName(await table.dispatch(request, 0)), "NO_UPSTREAM");
--- a/packages/sidecar/src/sidecar_role.ts
+++ b/packages/sidecar/src/sidecar_role.ts
@@ -27,7 +27,7 @@
   UpstreamLoad,
 } from "./upstream/upstream_client.ts";
 
-/** Longest time between two checks; a configuration change triggers one. */
+/** Longest wait before the next check, ms; a configuration change starts it at once. */
 const WATCH_INTERVAL_MILLISECONDS = 1_000;
 const FINAL_RESPONSE_GRACE_MILLISECONDS = 250;
 const DRAIN_POLL_MILLISECONDS = 20;
