--- a/packages/core/src/logs/log_queue.ts
+++ b/packages/core/src/logs/log_queue.ts
@@ -8,7 +8,8 @@
 import { sleep } from "../shared/sleep.ts";
 
 /**
- * Maximum size of the queued lines: some seconds of the log of a busy daemon.
+ * Maximum size of the lines that are queued or being written: some seconds of
+ * the log of a busy daemon.
  */
 const MAX_PENDING_BYTES = 1_048_576;
 /** Delay before queued lines are written, ms, so that they share one write. */
--- a/packages/core/src/result/coded_error.ts
+++ b/packages/core/src/result/coded_error.ts
@@ -12,7 +12,7 @@
   readonly code: ResultCode;
   /** One sentence in sentence case, without content of the caller. */
   readonly message: string;
-  /** Time after which the caller may retry; missing if a retry is pointless. */
+  /** Time after which a retry makes sense, ms; missing if none is suggested. */
   readonly retryAfterMilliseconds?: number;
 }
 
--- a/packages/core/src/types/consensus.ts
+++ b/packages/core/src/types/consensus.ts
@@ -118,7 +118,10 @@
   readonly identity: ReplicaIdentity;
   readonly failureDomain: string;
   readonly founded: boolean;
-  /** Members with which the group was founded; empty if it was not. */
+  /**
+   * Members with which the group was founded; empty if it was not, or if the
+   * replica no longer stores them.
+   */
   readonly foundingMembers: readonly Member[];
 }
 
--- a/packages/core/src/types/internal_handlers.ts
+++ b/packages/core/src/types/internal_handlers.ts
@@ -144,7 +144,8 @@
 }
 
 /**
- * Asks for the state of an attempt, and fences off older terms of its group.
+ * Names an attempt to query, await or cancel, and fences off older terms of its
+ * group.
  */
 export interface RecoverRequest {
   readonly key: AttemptKey;
@@ -181,7 +182,10 @@
 export interface LeaseReply {
   readonly granted: boolean;
   readonly fencingNumber: number;
-  /** Time until the current holder's lease ends, if the request was refused. */
+  /**
+   * Time to wait before another request, ms, during which another holder may
+   * still use its lease; 0 if there is nothing to wait for.
+   */
   readonly waitMilliseconds: number;
 }
 
--- a/packages/core/src/types/routing.ts
+++ b/packages/core/src/types/routing.ts
@@ -29,7 +29,10 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Maximum time for a request. */
+  /**
+   * Maximum time from the arrival of a request to the end of its answer; a
+   * caller may set a shorter one.
+   */
   readonly timeoutMilliseconds: number;
   /** Target latency of an answer; 0 if there is none. */
   readonly targetMilliseconds: number;
@@ -57,7 +60,7 @@
 /** A group of interchangeable upstreams. */
 export interface Service {
   readonly name: string;
-  /** Maximum connections to one upstream, over all of its clients. */
+  /** Maximum number of connections to one upstream from all gateways together. */
   readonly maxConnections: number;
   /** Tokens that are counted for each event of a stream. */
   readonly tokensPerEvent: number;
--- a/packages/core/src/types/site.ts
+++ b/packages/core/src/types/site.ts
@@ -14,7 +14,8 @@
   readonly roles: readonly string[];
   readonly failureDomain: string;
   /**
-   * Time since the sender of the record last had news from the daemon itself.
+   * Time since the last sign of life of the daemon itself, as far as the sender
+   * of the record knows, ms.
    */
   readonly ageMilliseconds: number;
 }
@@ -28,7 +29,7 @@
 
 /** Summarizes which records the sender has, and their ages. */
 export interface DirectoryComparison {
-  /** A packed summary, in the format of the directory package. */
+  /** A packed summary; see `directory_summary.ts` in the membership package. */
   readonly known: Uint8Array;
 }
 
--- a/packages/sessions/src/site_snapshot.ts
+++ b/packages/sessions/src/site_snapshot.ts
@@ -25,7 +25,8 @@
 
 /**
  * Lowest first byte of a snapshot of the first release, which is a single CBOR
- * map; the first byte of a length prefix is always lower.
+ * map. The first byte of a length prefix is lower, also with the mark, since no
+ * head is as long as 512 MiB.
  */
 const FIRST_MAP_BYTE = 0xa0;
 /** Turn heads in one batch, whose encoding takes about 1 ms of a full core. */
--- a/packages/store/src/fair_shares.ts
+++ b/packages/store/src/fair_shares.ts
@@ -46,7 +46,8 @@
    * Admits a command and counts it, or refuses it.
    *
    * @param pressure 0 if the leader's queue is empty, 1 if it refuses new work
-   * @returns false if the workspace has used up its share
+   * @returns false if the pressure is at least {@linkcode MIN_PRESSURE} and the
+   * workspace has reached its limit at this pressure
    */
   tryAdmit(share: Share, pressure: number, now: number): boolean {
     const usage = this.#update(share, now);
--- a/packages/store/src/instance_reader.ts
+++ b/packages/store/src/instance_reader.ts
@@ -35,7 +35,7 @@
   readonly onChange: () => void;
 }
 
-/** Reads and caches the instance list of one store. */
+/** Reads the instance list for one store and keeps its recent revisions. */
 export class InstanceReader {
   readonly #options: InstanceReaderOptions;
   readonly #invalidEntryLogLimit = new LogRateLimiter(
--- a/packages/store/src/instance_reader_test.ts
+++ b/packages/store/src/instance_reader_test.ts
@@ -38,7 +38,7 @@
   t.ok(replies.every(({ update }) => update !== undefined));
 });
 
-test("a failing source leaves the list and its age as they are", async (t) => {
+test("a failing source leaves the list and its read time as they are", async (t) => {
   const { reader, source } = createTestReader();
   source.fails = true;
   const request = { revision: "", maxAgeMilliseconds: -1 };
--- a/packages/store/src/retirement_owner.ts
+++ b/packages/store/src/retirement_owner.ts
@@ -66,8 +66,9 @@
   }
 
   /**
-   * Returns whether a retirement is complete: the store is no longer a member,
-   * the latest membership change is applied, and enough voters remain.
+   * Returns whether a retirement is complete, so that the remaining stores hold
+   * all data: the store is no longer a member, the latest membership change is
+   * applied, and enough voters remain.
    */
   async getState(
     request: RetireStore,
--- a/packages/store/src/shared_commands.ts
+++ b/packages/store/src/shared_commands.ts
@@ -11,7 +11,7 @@
 /** How to create a command, and whom to notify when it ends. */
 export interface CommandOptions<T> {
   readonly propose: () => Promise<T>;
-  /** Called once per command, with the options of its first request. */
+  /** Called once per command; not called for requests that join it. */
   readonly onEnd?: (outcome: T, end: SharedCommandEnd) => void;
 }
 
--- a/packages/store/src/site_owner.ts
+++ b/packages/store/src/site_owner.ts
@@ -64,7 +64,7 @@
 
 /** Result for a caller that has given up and no longer reads it. */
 const CANCELLED = fail(RESULT_CODES.CANCELLED, "The caller has given up");
-/** Result of a command that was applied before. */
+/** Result of a command that would change nothing and is therefore not proposed. */
 const ALREADY_DONE: SiteResult = { code: "OK" };
 
 /** Proposes the commands of the site while this store leads. */
--- a/packages/store/src/store_replicas.ts
+++ b/packages/store/src/store_replicas.ts
@@ -11,7 +11,7 @@
  * machines of a new site start within 0.3 s and query each other every 0.15 s.
  */
 const SETTLE_MILLISECONDS = 1_200;
-/** Maximum age of the last contact with a store that counts as a founder, ms. */
+/** Maximum time since the last sign of life of a store that counts as a founder, ms. */
 const FOUNDER_AGE_MILLISECONDS = 1_500;
 
 /** Dependencies and settings of {@linkcode StoreReplicas}. */
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Returns the possible founders: on a first start the stores with recent
-   * contact, otherwise all known stores. The list is complete on a first start
-   * once no new daemon has appeared for {@linkcode SETTLE_MILLISECONDS}.
+   * Returns the possible founders: on a first start the stores with a recent
+   * sign of life, otherwise all known stores. The list is complete on a first
+   * start once the directory has not changed for {@linkcode SETTLE_MILLISECONDS}.
    */
   listFounders(now: number): KnownFounders {
     const { directory, isFirstStart } = this.#options;
