--- a/packages/consensus/src/founding/founding.ts
+++ b/packages/consensus/src/founding/founding.ts
@@ -14,7 +14,7 @@
 import { spreadOverDomains } from "../group/failure_domains.ts";
 import type { ReplicaSource } from "./replica_source.ts";
 
-/** Interval between two rounds of requests, ms; short compared with the start of a process. */
+/** Pause between two rounds of requests, ms; short compared with the start of a process. */
 const ROUND_INTERVAL_MILLISECONDS = 100;
 /** Timeout of one request, ms; far longer than a round trip. */
 const REQUEST_TIMEOUT_MILLISECONDS = 1_000;
@@ -45,8 +45,9 @@
 /**
  * Decides for a replica whose folder is empty. The founder with the smallest id
  * founds the site once every other founder has reported an empty folder too. A
- * replica that finds a founded site joins it, unless it is one of the founding
- * members: its own folder may have been lost.
+ * replica that finds a founded site joins it, since its own folder may have been
+ * lost. If a founded site lists it as a founding member with its present
+ * incarnation, it has lost nothing and founds the site with the same members.
  */
 export async function decideFounding(
   options: FoundingOptions,
--- a/packages/consensus/src/group/admission_control.ts
+++ b/packages/consensus/src/group/admission_control.ts
@@ -26,7 +26,7 @@
 /**
  * Longest expected wait at which a command is admitted, ms. Callers of the same
  * command share its result and wait 2 s or more for it. Commands that continue
- * work may take most of that time, and commands that start work half of it, so
+ * work may take most of that time, and commands that start work half as long, so
  * that new work is rejected first. A rejection costs a caller more than a wait:
  * with limits of 380 and 240 ms, a simulated site of 27 gateways rejected 4,408
  * attempts in a day, against 52 without a limit.
@@ -195,10 +195,11 @@
 }
 
 /**
- * Returns the cost of the entries ahead of a new one, without the largest entry.
- * At the low commit rate of a lightly loaded leader, a single entry of 900 kB (a
- * turn with a long input) looked like 9 s of work, and every new program was
- * rejected while it was in flight. Its delay shows in the age of the oldest entry.
+ * Returns the cost of the entries ahead of a new one, without the largest entry
+ * if that is above {@linkcode LARGE_ENTRY_COST}. At the low commit rate of a
+ * lightly loaded leader, a single entry of 900 kB (a turn with a long input)
+ * looked like 9 s of work, and every new program was rejected while it was in
+ * flight. Its delay shows in the age of the oldest entry.
  */
 function findQueuedCost({ cost, largestCost }: PendingEntries): number {
   return cost - largestCost;
--- a/packages/consensus/src/group/applier.ts
+++ b/packages/consensus/src/group/applier.ts
@@ -75,7 +75,8 @@
   #snapshotIndex: number;
   /**
    * Returns the highest index that all members in contact have, except cold
-   * spares; Infinity while this replica does not lead. Set by the group.
+   * spares; Infinity if there are none, and while this replica does not lead.
+   * Set by the group.
    */
   getLowestMatchIndex: () => number = () => Infinity;
 
--- a/packages/consensus/src/group/failure_domains.ts
+++ b/packages/consensus/src/group/failure_domains.ts
@@ -1,8 +1,8 @@
 /**
  * Spreads the members of a group over failure domains, so that a quorum
- * survives the loss or isolation of one domain. Stores are often named and
- * listed domain by domain: the first five of a list could all lie in the same
- * domain.
+ * survives the loss or isolation of one domain if there are enough domains.
+ * Stores are often named and listed domain by domain: the first five of a list
+ * could all lie in the same domain.
  */
 
 import type { Member } from "@mallowlift/core";
--- a/packages/consensus/src/group/leadership.ts
+++ b/packages/consensus/src/group/leadership.ts
@@ -108,8 +108,8 @@
       this.#peers = [...this.#peers, peer];
       void new PeerReplication(peer, this.#replication).run();
     }
-    // While voters are missing, replacements are chosen at once instead of at the
-    // next periodic check.
+    // While voters are missing, the spares that receive entries are chosen at once
+    // instead of at the next periodic check: only they can become voters.
     if (this.isShortOfVoters) this.chooseWarmSpares(now);
     this.#work.wake();
     this.#changed.wake();
--- a/packages/consensus/src/group/peer_progress.ts
+++ b/packages/consensus/src/group/peer_progress.ts
@@ -9,7 +9,10 @@
   nextIndex: number;
   /** Index of the last entry that is known to be on the member's disk. */
   matchIndex = 0;
-  /** Highest index that the member has reported; it may be unconfirmed. */
+  /**
+   * Highest index that the member has reported; its entries up to there may
+   * differ from the leader's.
+   */
   reportedIndex = 0;
   /** True if the member receives entries although it has no vote. */
   isWarm = false;
--- a/packages/consensus/src/group/replicated_group.ts
+++ b/packages/consensus/src/group/replicated_group.ts
@@ -156,8 +156,9 @@
 
   /**
    * True if this replica has recent contact with a leader, has applied all
-   * committed entries it knows of, and is a voter or a spare in a group with
-   * enough voters. A cold spare receives no entries, so it cannot lag.
+   * committed entries it knows of, and is a voter, a standby, or a learner in a
+   * group with enough voters. A cold spare receives no entries, so it cannot lag
+   * and needs only the contact.
    */
   isHealthy(now: number): boolean {
     const limit = 4 * this.#options.timing.electionMilliseconds;
@@ -245,7 +246,7 @@
     return await this.#append(ENTRY_KINDS.MEMBERSHIP, encodeMembers(members));
   }
 
-  /** Transfers the leadership to another voter before a planned stop. */
+  /** Transfers the leadership to another voter before a planned stop or retirement. */
   async handOver(): Promise<void> {
     const leadership = this.#leadership;
     if (leadership === undefined) return;
--- a/packages/consensus/src/storage/data_folder.ts
+++ b/packages/consensus/src/storage/data_folder.ts
@@ -119,7 +119,10 @@
     this.#stored.set(group, { ...stored, snapshot });
   }
 
-  /** Saves a snapshot of the local state and removes the log segments that it covers. */
+  /**
+   * Saves a snapshot of the local state, and removes the log segments that the
+   * snapshots of all groups cover.
+   */
   async saveSnapshot(snapshot: NewSnapshot): Promise<void> {
     await this.#snapshotQueue.run(async () => {
       if (!await this.#saveIfNewer(snapshot)) return;
--- a/packages/consensus/src/storage/record.ts
+++ b/packages/consensus/src/storage/record.ts
@@ -48,14 +48,15 @@
 /** Result of scanning a file for records. */
 export interface ScannedFile {
   readonly values: readonly unknown[];
-  /** Offset of the byte after the last complete record. */
+  /** Offset of the byte after the last record that was read. */
   readonly end: number;
   /** True if a complete record follows invalid bytes, so that they are not a torn tail. */
   readonly isCorrupted: boolean;
 }
 
 /**
- * Reads the records of a file from its start up to the first invalid byte.
+ * Reads the records of a file from its start up to the first that is incomplete
+ * or invalid.
  *
  * @example
  * ```ts
--- a/packages/consensus/src/storage/wait_until_writable.ts
+++ b/packages/consensus/src/storage/wait_until_writable.ts
@@ -7,7 +7,7 @@
 
 /** Size of a probe write, bytes: several blocks, so that it fails on a full disk. */
 const PROBE_BYTES = 65_536;
-/** Interval between two probe writes, ms; short compared with how long a disk stays full. */
+/** Pause between two probe writes, ms; short compared with how long a disk stays full. */
 const RETRY_INTERVAL_MILLISECONDS = 250;
 
 /** Options of {@linkcode waitUntilWritable}. */
--- a/packages/consensus/src/storage/write_ahead_log.ts
+++ b/packages/consensus/src/storage/write_ahead_log.ts
@@ -112,7 +112,10 @@
     return records;
   }
 
-  /** Appends records; resolves when they are synced, and never if the log is closed. */
+  /**
+   * Appends records; resolves when they are synced, and never if the log is
+   * closed or a write or sync has failed.
+   */
   append(records: readonly LogRecord[]): Promise<void> {
     // A message that arrives during a planned stop must neither be acknowledged
     // nor fail the daemon.
