--- a/packages/bench/src/gateway_soak/document_operator.ts
+++ b/packages/bench/src/gateway_soak/document_operator.ts
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Reads the document and checks it; returns false if there is no answer. */
+  /** Reads the document and checks it; returns false without a successful answer. */
   async check(): Promise<boolean> {
     const { records } = this.#options;
     const leastVersion = this.#acknowledged;
--- a/packages/bench/src/gateway_soak/gateway_faults.ts
+++ b/packages/bench/src/gateway_soak/gateway_faults.ts
@@ -205,7 +205,10 @@
   context.site.restart(daemon);
 }
 
-/** Deletes a store's disk, and waits until the store is ready again. */
+/**
+ * Deletes a store's disk, and waits until the store is ready again. Does nothing
+ * while another series is in this fault.
+ */
 async function loseDisk(context: FaultContext): Promise<void> {
   const { locks, site, records } = context;
   if (locks.isDiskLost) return;
--- a/packages/bench/src/gateway_soak/run_gateway_soak.ts
+++ b/packages/bench/src/gateway_soak/run_gateway_soak.ts
@@ -150,7 +150,10 @@
   });
 }
 
-/** Checks that programs and operators are served again after the faults. */
+/**
+ * Checks that within the limit programs and operators are served again and all
+ * daemons are ready.
+ */
 async function checkServedAgain(options: {
   readonly parts: SoakSite;
   readonly records: CallerRecords;
--- a/packages/bench/src/gateway_soak/soak_site.ts
+++ b/packages/bench/src/gateway_soak/soak_site.ts
@@ -21,7 +21,10 @@
   readonly upstreams: readonly OpaqueUpstream[];
 }
 
-/** Starts a site; all connections but the callers' go through fault proxies. */
+/**
+ * Starts a site with fault proxies for the connections between daemons and to
+ * upstreams; callers, operators and health requests connect directly.
+ */
 export async function startSoakSite(
   folder: string,
   size: SoakSize,
--- a/packages/bench/src/gateway_soak/soak_workspaces.ts
+++ b/packages/bench/src/gateway_soak/soak_workspaces.ts
@@ -7,7 +7,7 @@
 export const HOME_WORKSPACE = { workspace: "home", key: "home-key" } as const;
 /** Workspace with a quota and a different key in each document version. */
 export const GUEST_WORKSPACE = "guest";
-/** Time after which no gateway may accept a revoked key, ms. */
+/** Time after its revocation from which a key may run nowhere, ms. */
 export const REVOCATION_MILLISECONDS = 2_000;
 /** Quota of the guest workspace, over windows of {@linkcode WINDOW_SECONDS}. */
 export const GUEST_QUOTA = { ratePerSecond: 20, burst: 10 } as const;
--- a/packages/bench/src/gateways/burst_recovery_test.ts
+++ b/packages/bench/src/gateways/burst_recovery_test.ts
@@ -1,10 +1,10 @@
 /**
  * Guards against a site that stays unavailable after a burst of turns: it loses
- * its leader again and again, and acknowledged documents cannot be read. Commits
- * outlast the gateways' timeout, and each retry adds a log entry with the whole
- * turn. If nothing bounds the queue, the leader first replicates commands whose
- * callers have all given up: of 1,658 commands in the second before a leader lost
- * its quorum, 660 were retries, and no caller waited for any of them.
+ * its leader again and again, and acknowledged documents cannot be read. Beyond the
+ * leader's rate, commits outlast the gateways' timeout, and each retry adds an entry
+ * with the whole turn. If nothing bounds the queue, the leader first replicates what
+ * no caller awaits: of 1,658 commands in the second before a leader lost its quorum,
+ * 660 were retries, and no caller waited for any of them.
  */
 
 import { performance } from "node:perf_hooks";
@@ -70,7 +70,7 @@
   readonly attempts: string;
 }
 
-/** Calls for one turn, with retries, until it is served in full. */
+/** Calls for one turn until it is served in full, at most {@linkcode ATTEMPTS} times. */
 async function callUntilServed(
   running: TestSite,
   turn: { readonly name: string; readonly number: number },
--- a/packages/bench/src/gateways/gateway_caller.ts
+++ b/packages/bench/src/gateways/gateway_caller.ts
@@ -25,7 +25,7 @@
   readonly challenge?: string | undefined;
 }
 
-/** Makes one request on a new connection; a failed one has the status 0. */
+/** Makes one request on a new connection; never rejects, also if it fails. */
 export function callGateway(
   url: string,
   call: CallRequest,
--- a/packages/bench/src/gateways/large_document_test.ts
+++ b/packages/bench/src/gateways/large_document_test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against a large routing document that gateways behind slow links never
  * receive, seen with 1,400 routes added to 1,450. If a transfer that outlasts the
- * answer timeout is discarded and requested again, each copy queues behind the
- * one before (1.2 MB unsent at the leader per member), and if the waiting gateway
- * considers the leader lost, its turns fail and the leader loses its leadership.
+ * answer timeout is discarded and requested again, each copy queues behind the one
+ * before. The waiting gateway considers the leader lost, and its turns fail; with
+ * 1.2 MB unsent for every member, the leader loses its leadership.
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
@@ -17,13 +17,13 @@
 import { callTurn } from "./turn_caller.ts";
 
 /**
- * Bandwidth of the smallest gateways, bytes per second: 21 Mbit/s. A document with
- * 5,600 routes was never acknowledged over such links.
+ * Bandwidth of the smallest gateways, bytes per second: 21 Mbit/s. If late transfers
+ * start again, a document with 5,600 routes is never acknowledged over such links.
  */
 const SLOW_LINK_BYTES_PER_SECOND = 21_000_000 / 8;
 /**
  * Bandwidth at which 1,400 routes take longer than a long-poll answer may, bytes per
- * second: 3.2 Mbit/s.
+ * second: 3.2 Mbit/s. If late transfers start again, a gateway never gets them.
  */
 const SLOWEST_LINK_BYTES_PER_SECOND = 400_000;
 /** Input that takes 2.25 s at the lowest bandwidth. */
--- a/packages/bench/src/integration/test_site.ts
+++ b/packages/bench/src/integration/test_site.ts
@@ -39,7 +39,7 @@
   options: {
     readonly plan?: Partial<SitePlan>;
     readonly engine?: Partial<FakeEngineOptions>;
-    /** True if each engine shall give different answers. */
+    /** True to make the answers of each engine differ from those of the others. */
     readonly salted?: boolean;
   } = {},
 ): Promise<TestSite> {
--- a/packages/bench/src/soak/fault_schedule.ts
+++ b/packages/bench/src/soak/fault_schedule.ts
@@ -193,8 +193,8 @@
 }
 
 /**
- * Deletes a replica's data, waits until it is healthy again, then kills another
- * replica at once.
+ * Deletes a replica's data, waits until it is healthy again, then at once kills a
+ * random replica, unless that is the same one.
  */
 async function loseDataThenKill(
   targets: FaultTargets,
--- a/packages/bench/src/soak/program_worker.ts
+++ b/packages/bench/src/soak/program_worker.ts
@@ -213,7 +213,10 @@
     }
   }
 
-  /** Sends to random entries until one returns a complete answer. */
+  /**
+   * Sends to random entries until one returns a complete answer that is not its own
+   * refusal, or any client error.
+   */
   async #sendUntilAnswered(
     send: (client: SiteClient) => Promise<SiteAnswer>,
   ): Promise<SiteAnswer> {
