--- a/packages/bench/src/quotas/quota_workload.ts
+++ b/packages/bench/src/quotas/quota_workload.ts
@@ -24,7 +24,7 @@
 
 /** Start and end times of the events of a simulation, ms. */
 export const TIMELINE = {
-  /** Half of the callers move to another gateway. */
+  /** Half of the callers move to a gateway drawn at random. */
   shiftAt: 8_000,
   burstAt: 12_000,
   burstUntil: 16_000,
--- a/packages/bench/src/recovery/bench_recovery.ts
+++ b/packages/bench/src/recovery/bench_recovery.ts
@@ -121,7 +121,10 @@
   return recorder.summarize();
 }
 
-/** Deletes the data of the replicas in turn and measures the time to their recovery. */
+/**
+ * Deletes the data of the replicas in turn and measures the time until each is
+ * healthy again: a member of every group that has applied all committed entries.
+ */
 async function measureDiskLoss(
   site: Site,
   client: SiteClient,
--- a/packages/bench/src/site/managed_process.ts
+++ b/packages/bench/src/site/managed_process.ts
@@ -16,7 +16,10 @@
 const RUNNING = new Set<ChildProcess>();
 let isWatchingExit = false;
 
-/** Kills the child when this process exits for any reason. */
+/**
+ * Kills the child when this process exits by itself, also after an uncaught
+ * error; not when a signal without a handler ends it.
+ */
 function killOnExit(child: ChildProcess): void {
   RUNNING.add(child);
   child.once("exit", () => RUNNING.delete(child));
--- a/packages/bench/src/site/previous_run.ts
+++ b/packages/bench/src/site/previous_run.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * Kills the recorded processes of an earlier run that are still running;
- * returns how many it killed.
+ * Kills the recorded processes of an earlier run that are still running: daemons
+ * with settings in this folder, and fakes. Returns how many it killed.
  */
 export function killPreviousRun(folder: string): number {
   const path = join(folder, "pids.json");
@@ -36,8 +36,8 @@
 }
 
 /**
- * Checks the command line of a process, because the system may have given its
- * id to an unrelated program.
+ * Returns true if the command line is that of a daemon with settings in this
+ * folder or of fakes. The system may have given the id to an unrelated program.
  */
 function isSiteProcess(pid: number, folder: string): boolean {
   try {
--- a/packages/bench/src/site/site_client.ts
+++ b/packages/bench/src/site/site_client.ts
@@ -44,7 +44,7 @@
     this.#token = token;
   }
 
-  /** Closes idle keep-alive connections. */
+  /** Closes all connections, also those in use. */
   close(): void {
     this.#agent.destroy();
   }
@@ -123,7 +123,7 @@
     });
   }
 
-  /** Reads the current version of a resource and replaces it, as an operator. */
+  /** Creates a resource or replaces it whatever its current version, as an operator. */
   async applyResource(
     kind: string,
     name: string,
--- a/packages/bench/src/slopes/capacity_page.ts
+++ b/packages/bench/src/slopes/capacity_page.ts
@@ -52,7 +52,7 @@
   return page.lines.join("\n");
 }
 
-/** Compares the control of entries and sidecars with the budget of a daemon. */
+/** Compares the resources that entries and sidecars use for control with their budget. */
 function addControlTable(page: Page): void {
   page.lines.push(
     "## Control at each entry and sidecar",
--- a/packages/bench/src/slopes/dimensions.ts
+++ b/packages/bench/src/slopes/dimensions.ts
@@ -31,7 +31,7 @@
   readonly size: number;
   /** Mean samples of the configuration leader, the replicas, the entry and a sidecar. */
   readonly samples: readonly DaemonSample[];
-  /** Time until every follower had applied a change; missing in other dimensions. */
+  /** Time until every follower had applied a change; only in the dimension `followers`. */
   readonly inForceMilliseconds?: number;
 }
 
